--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -6,22 +6,22 @@
 import { withoutConnectionHeaders } from './headers';
 import type { AnswerHead, Wire } from './wire';
 
-/** How one try at one target ended, with the answer where it was collected whole. */
+/** Outcome of one request to one target, with the response if it was buffered. */
 export type AttemptOutcome =
   | {
       readonly kind: 'answered';
       readonly status: number;
-      /** Name, value, name, value. */
+      /** Alternating names and values. */
       readonly headers: readonly string[];
       readonly body: Buffer;
     }
   | Exclude<TryOutcome, { readonly kind: 'answered' }>;
 
-/** Takes a successful answer piece by piece. */
-export interface AnswerReceiver {
+/** Receives a successful response as it arrives. */
+export interface ResponseReceiver {
   begin(status: number, headers: readonly string[]): void;
-  /** Takes a piece; returns whether it may be followed by another at once. */
-  take(chunk: Buffer): boolean;
+  /** Returns false if the response must pause until `Attempt.resume` is called. */
+  write(chunk: Buffer): boolean;
 }
 
 export interface AttemptOptions {
@@ -30,19 +30,18 @@
   readonly clock: Clock;
   readonly requestId: string | undefined;
   readonly method: string;
-  /** Path with query. */
+  /** Includes the query. */
   readonly path: string;
-  /** Name, value, name, value. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | null;
-  /** Where a successful answer goes as it arrives; it is collected whole unless given. */
-  readonly receiver?: AnswerReceiver | undefined;
+  /** Receives a successful response; the response is buffered if undefined. */
+  readonly receiver?: ResponseReceiver | undefined;
 }
 
-/** Largest answer that is collected whole; bytes. */
-const COLLECTED_LIMIT_BYTES = 8 * 1024 * 1024;
+const BUFFERED_RESPONSE_LIMIT_BYTES = 8 * 1024 * 1024;
 
-const SUCCESS = { from: 200, to: 299 };
+const SUCCESS_STATUS = { from: 200, to: 299 };
 
 /** One request to one target over one connection. */
 export class Attempt implements Dispatcher.DispatchHandler {
@@ -51,12 +50,12 @@
   #controller: Dispatcher.DispatchController | undefined;
   #resolve: (outcome: AttemptOutcome) => void = () => undefined;
   #settled = false;
-  #givenUp = false;
+  #cancelled = false;
   #status = 0;
   #headers: readonly string[] = [];
   #head: AnswerHead | undefined;
-  #collected = 0;
-  #began = false;
+  #bufferedBytes = 0;
+  #hasBegun = false;
 
   constructor(options: AttemptOptions) {
     this.#options = options;
@@ -75,22 +74,22 @@
     });
   }
 
-  /** Closes the connection, so that the target stops; the outcome follows. */
-  giveUp(): void {
+  /** Closes the connection, so that the target stops; `run` resolves as `given-up`. */
+  cancel(): void {
     if (this.#settled) return;
-    this.#givenUp = true;
+    this.#cancelled = true;
     const sent = this.#controller !== undefined;
-    this.#settle({ kind: 'given-up', sent, began: this.#began });
+    this.#settle({ kind: 'given-up', sent, began: this.#hasBegun });
   }
 
-  /** Lets a paused answer go on. */
+  /** Resumes a paused response. */
   resume(): void {
     this.#controller?.resume();
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
-    if (this.#givenUp) controller.abort(new Error('given up'));
+    if (this.#cancelled) controller.abort(new Error('attempt cancelled'));
   }
 
   onResponseStart(
@@ -98,13 +97,13 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (status < SUCCESS.from) return;
+    if (status < SUCCESS_STATUS.from) return;
     const { wire, requestId } = this.#options;
     this.#status = status;
     this.#head = wire.readAnswer(headers);
     const raw = controller.rawHeaders;
-    this.#headers = withoutConnectionHeaders(toTexts(raw), () => false);
-    const reason = findFault(this.#head, status, requestId);
+    this.#headers = withoutConnectionHeaders(decodeRawHeaders(raw), () => false);
+    const reason = findResponseFault(this.#head, status, requestId);
     if (reason !== undefined) this.#settle({ kind: 'unknown', reason, began: false });
   }
 
@@ -112,12 +111,12 @@
     if (this.#settled) return;
     const { receiver } = this.#options;
     if (receiver === undefined || !isSuccess(this.#status)) {
-      this.#collect(chunk);
+      this.#buffer(chunk);
       return;
     }
-    if (!this.#began) receiver.begin(this.#status, this.#headers);
-    this.#began = true;
-    if (!receiver.take(chunk)) controller.pause();
+    if (!this.#hasBegun) receiver.begin(this.#status, this.#headers);
+    this.#hasBegun = true;
+    if (!receiver.write(chunk)) controller.pause();
   }
 
   onResponseEnd(): void {
@@ -125,11 +124,11 @@
     const { receiver, connection } = this.#options;
     if (connection.hasFailed()) {
       const reason = 'the connection was reset before the end of the answer';
-      this.#settle({ kind: 'unknown', reason, began: this.#began });
+      this.#settle({ kind: 'unknown', reason, began: this.#hasBegun });
     } else if (this.#head?.isNotRun === true || status === MISDIRECTED) {
       this.#settle({ kind: 'not-run', status }, true);
     } else if (receiver !== undefined && isSuccess(status)) {
-      if (!this.#began) receiver.begin(status, this.#headers);
+      if (!this.#hasBegun) receiver.begin(status, this.#headers);
       this.#settle({ kind: 'streamed' }, true);
     } else {
       const body = Buffer.concat(this.#chunks);
@@ -140,22 +139,22 @@
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     const reason = error.message;
     if (this.#controller === undefined) this.#settle({ kind: 'not-sent', reason });
-    else this.#settle({ kind: 'unknown', reason, began: this.#began });
+    else this.#settle({ kind: 'unknown', reason, began: this.#hasBegun });
   }
 
-  #collect(chunk: Buffer): void {
-    this.#collected += chunk.length;
+  #buffer(chunk: Buffer): void {
+    this.#bufferedBytes += chunk.length;
     this.#chunks.push(chunk);
-    if (this.#collected <= COLLECTED_LIMIT_BYTES) return;
-    const reason = `an answer of more than ${COLLECTED_LIMIT_BYTES} bytes`;
+    if (this.#bufferedBytes <= BUFFERED_RESPONSE_LIMIT_BYTES) return;
+    const reason = `an answer of more than ${BUFFERED_RESPONSE_LIMIT_BYTES} bytes`;
     this.#settle({ kind: 'unknown', reason, began: false });
   }
 
-  #settle(outcome: AttemptOutcome, whole = false): void {
+  #settle(outcome: AttemptOutcome, isComplete = false): void {
     if (this.#settled) return;
     this.#settled = true;
     const { connection } = this.#options;
-    if (whole) connection.release();
+    if (isComplete) connection.release();
     else {
       this.#controller?.abort(new Error(outcome.kind));
       connection.discard();
@@ -165,11 +164,11 @@
 }
 
 function isSuccess(status: number): boolean {
-  return status >= SUCCESS.from && status <= SUCCESS.to;
+  return status >= SUCCESS_STATUS.from && status <= SUCCESS_STATUS.to;
 }
 
-/** Why an answer can't be the target's own answer to the request. */
-function findFault(
+/** Reason for which a response cannot be the target's response to this request. */
+function findResponseFault(
   head: AnswerHead,
   status: number,
   requestId: string | undefined,
@@ -182,7 +181,7 @@
   return undefined;
 }
 
-function toTexts(raw: unknown): readonly string[] {
+function decodeRawHeaders(raw: unknown): readonly string[] {
   const list = (raw ?? []) as readonly (string | Buffer)[];
   return list.map((part) => (typeof part === 'string' ? part : part.toString('latin1')));
 }
--- a/src/gateway/call-handler.ts
+++ b/src/gateway/call-handler.ts
@@ -4,27 +4,27 @@
 import type { Forwarder } from './forwarder';
 import type { QuotaGate } from './quota-gate';
 
-export interface CallHandlerParts {
+export interface CallHandlerOptions {
   readonly forwarder: Forwarder;
   readonly quotaGate: QuotaGate;
 }
 
-/** Passes a request whose answer is collected whole to a target. */
+/** Forwards a request to a target and buffers its response. */
 export async function handleCall(
-  { forwarder, quotaGate }: CallHandlerParts,
+  { forwarder, quotaGate }: CallHandlerOptions,
   exchange: Exchange,
   route: Route,
   table: RouteTable,
 ): Promise<void> {
-  const pass = quotaGate.ask(exchange, false);
+  const admission = quotaGate.requestAdmission(exchange, false);
   const body = await exchange.readBody(table.configuration.limits.bodyBytes);
-  if (body === 'gone' || body === 'too-large') {
-    pass.giveBack();
-    if (body === 'gone') exchange.log('gone');
+  if (body === 'disconnected' || body === 'too-large') {
+    admission.refund();
+    if (body === 'disconnected') exchange.log('gone');
     else exchange.refuse(BODY_TOO_LARGE);
     return;
   }
-  const refusal = await pass.refusal();
+  const refusal = await admission.refusal();
   if (refusal !== undefined) {
     exchange.refuse(refusal);
     return;
@@ -36,8 +36,8 @@
     body: body.length > 0 ? body : null,
     placement: placementOf(exchange),
   });
-  if (outcome.kind === 'refused' && outcome.isNotRun) pass.giveBack();
-  if (outcome.kind === 'answered') exchange.answer(outcome.status, outcome.headers, outcome.body);
+  if (outcome.kind === 'refused' && outcome.isNotRun) admission.refund();
+  if (outcome.kind === 'answered') exchange.respond(outcome.status, outcome.headers, outcome.body);
   else if (outcome.kind === 'refused') exchange.refuse(outcome.refusal);
   else exchange.log('gone');
 }
@@ -48,7 +48,7 @@
   message: 'the body is longer than the configuration allows; send less',
 } as const;
 
-/** Placement of a request that continues nothing. */
+/** Placement of a request that continues no turn. */
 export function placementOf({ head }: Exchange): PlacementRequest {
   const { parts, promptTokens } = head;
   return { parts, promptTokens, lastTarget: undefined, heldTokens: 0 };
--- a/src/gateway/event-output.ts
+++ b/src/gateway/event-output.ts
@@ -2,8 +2,8 @@
 
 const LINE_FEED = '\n';
 
-/** Collects the data of the events of an answer that passes by, byte for byte. */
-export class EventOutput {
+/** Collects the data fields of the server-sent events in a response, byte for byte. */
+export class EventDataCollector {
   readonly #parser: EventSourceParser;
   readonly #data: string[] = [];
 
@@ -16,16 +16,16 @@
   }
 
   push(chunk: Buffer): void {
-    // One character a byte, so that the bytes come out as they went in.
+    // Latin-1 maps each byte to one character, so that toBuffer() restores the exact bytes.
     this.#parser.feed(chunk.toString('latin1'));
   }
 
-  /** Events that were whole. */
+  /** Complete events. */
   get count(): number {
     return this.#data.length;
   }
 
-  /** The data of each event with a line feed after it. */
+  /** The data of each event, terminated by a line feed. */
   toBuffer(): Buffer {
     return Buffer.from(this.#data.join(''), 'latin1');
   }
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -14,27 +14,27 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Whether the caller is to open another connection for its next request. */
-  readonly closes: () => boolean;
+  /** Whether the connection is closed after the response. */
+  readonly closesConnection: () => boolean;
 }
 
-/** One request of a caller, from its arrival to its answer. */
+/** One request of a caller and its response. */
 export class Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly head: RequestHead;
-  /** Monotonic time of arrival, milliseconds. */
+  /** Monotonic time; milliseconds. */
   readonly arrivedAt: number;
   readonly #options: ExchangeOptions;
-  readonly #goneListeners = new Set<() => void>();
+  readonly #disconnectListeners = new Set<() => void>();
   readonly #decisions: Record<string, unknown>[] = [];
-  #hasLeft = false;
-  /** Time from the arrival to the first byte of a target's answer; milliseconds. */
-  #beganAfter: number | undefined;
+  #hasDisconnected = false;
+  /** Time from arrival to the start of a target's response. */
+  #firstByteMilliseconds: number | undefined;
   #route: Route | undefined;
-  /** The caller's team; nothing for callers without a key. */
+  /** Undefined for callers without a key. */
   team: Team | undefined;
-  /** Whether callers' keys are for the system alone. */
+  /** Whether the caller's key is removed from requests to targets. */
   hidesKey = false;
 
   constructor(options: ExchangeOptions) {
@@ -52,12 +52,12 @@
     this.#route = route;
   }
 
-  /** Whether the caller has closed its connection before the answer was whole. */
-  hasLeft(): boolean {
-    return this.#hasLeft;
+  /** Whether the caller closed its connection before the response was complete. */
+  hasDisconnected(): boolean {
+    return this.#hasDisconnected;
   }
 
-  /** Monotonic time at which the answer must be there: the caller's wait or the route's timeout. */
+  /** Monotonic time in milliseconds, from the caller's or the route's timeout, whichever is shorter. */
   get deadline(): number {
     const wait = this.head.waitMilliseconds ?? Infinity;
     return this.arrivedAt + Math.min(wait, this.#route?.timeoutMilliseconds ?? Infinity);
@@ -67,30 +67,27 @@
     return this.deadline - this.#options.clock.monotonic();
   }
 
-  /** Calls `listener` when the caller leaves; returns what takes it back. */
-  onGone(listener: () => void): () => void {
-    this.#goneListeners.add(listener);
+  /** Calls `listener` when the caller disconnects; returns a function that removes the listener. */
+  onDisconnect(listener: () => void): () => void {
+    this.#disconnectListeners.add(listener);
     return () => {
-      this.#goneListeners.delete(listener);
+      this.#disconnectListeners.delete(listener);
     };
   }
 
-  /** Notes a decision for the request's log line. */
-  decide(decision: Record<string, unknown>): void {
+  /** Adds a decision to the request's log line. */
+  recordDecision(decision: Record<string, unknown>): void {
     this.#decisions.push(decision);
   }
 
-  /**
-   * Reads the whole body; nothing if it is longer than `limitBytes` or the caller leaves. It listens, since
-   * iterating over a stream takes four times the processor time.
-   */
-  async readBody(limitBytes: number): Promise<Buffer | 'too-large' | 'gone'> {
+  /** Uses event listeners, which take less processor time than iterating over the stream. */
+  async readBody(limitBytes: number): Promise<Buffer | 'too-large' | 'disconnected'> {
     const { request } = this;
     if (!hasBody(request)) {
       request.resume();
       return NO_BODY;
     }
-    if (request.destroyed) return 'gone';
+    if (request.destroyed) return 'disconnected';
     return new Promise((resolve) => {
       const chunks: Buffer[] = [];
       let length = 0;
@@ -104,35 +101,35 @@
         resolve(chunks.length === 1 && first !== undefined ? first : Buffer.concat(chunks));
       });
       request.once('error', () => {
-        resolve('gone');
+        resolve('disconnected');
       });
       request.once('close', () => {
-        resolve('gone');
+        resolve('disconnected');
       });
     });
   }
 
-  /** Begins the answer of a target. */
-  begin(status: number, rawHeaders: readonly string[]): void {
-    this.#beganAfter = this.#options.clock.monotonic() - this.arrivedAt;
-    this.#markClosing();
+  /** Starts the response with a target's status and headers. */
+  beginResponse(status: number, rawHeaders: readonly string[]): void {
+    this.#firstByteMilliseconds = this.#options.clock.monotonic() - this.arrivedAt;
+    this.#markConnectionClosing();
     this.response.writeHead(status, [...rawHeaders]);
   }
 
-  /** Passes on a whole answer of a target. */
-  answer(status: number, rawHeaders: readonly string[], body: Buffer): void {
-    if (this.#hasLeft) return;
-    this.begin(status, rawHeaders);
+  /** Sends a target's complete response. */
+  respond(status: number, rawHeaders: readonly string[], body: Buffer): void {
+    if (this.#hasDisconnected) return;
+    this.beginResponse(status, rawHeaders);
     this.response.end(body);
     this.log('answered', { status });
   }
 
-  /** Answers for the gateway itself. */
+  /** Sends a refusal; logged only, if the caller disconnected or the response has started. */
   refuse({ status, code, message, retryAfterSeconds }: Refusal): void {
     this.#options.metrics.count(`refusals_total{code="${code}"}`);
     this.log('refused', { status, code, reason: message, retryAfterSeconds });
-    if (this.#hasLeft || this.response.headersSent) return;
-    this.#markClosing();
+    if (this.#hasDisconnected || this.response.headersSent) return;
+    this.#markConnectionClosing();
     const body = Buffer.from(JSON.stringify({ error: { code, message } }));
     this.response.setHeader('content-type', 'application/json');
     this.response.setHeader('content-length', body.length);
@@ -143,8 +140,8 @@
     this.response.end(body);
   }
 
-  /** Ends a connection whose answer can't be made whole. */
-  breakOff(reason: string): void {
+  /** Closes the connection of a response that cannot be completed. */
+  abort(reason: string): void {
     this.log('broken-off', { reason });
     this.response.destroy();
   }
@@ -169,31 +166,34 @@
       outcome,
       ...details,
       milliseconds: Math.round(milliseconds),
-      beganMilliseconds: this.#beganAfter === undefined ? undefined : Math.round(this.#beganAfter),
+      beganMilliseconds:
+        this.#firstByteMilliseconds === undefined
+          ? undefined
+          : Math.round(this.#firstByteMilliseconds),
       late,
       decisions: this.#decisions,
     });
   }
 
-  /** Whether the answer began later than the route aims at; nothing if none began. */
+  /** Whether the response started after the route's target latency; undefined if none started. */
   #isLate(): boolean | undefined {
-    if (this.#beganAfter === undefined || this.#route === undefined) return undefined;
-    return this.#beganAfter > this.#route.aimMilliseconds;
+    if (this.#firstByteMilliseconds === undefined || this.#route === undefined) return undefined;
+    return this.#firstByteMilliseconds > this.#route.aimMilliseconds;
   }
 
-  #markClosing(): void {
-    if (this.#options.closes()) this.response.shouldKeepAlive = false;
+  #markConnectionClosing(): void {
+    if (this.#options.closesConnection()) this.response.shouldKeepAlive = false;
   }
 
   #close(): void {
     if (this.response.writableFinished) return;
-    this.#hasLeft = true;
-    for (const listener of this.#goneListeners) listener();
-    this.#goneListeners.clear();
+    this.#hasDisconnected = true;
+    for (const listener of this.#disconnectListeners) listener();
+    this.#disconnectListeners.clear();
   }
 }
 
-/** Whether a body follows the head, by RFC 9112, section 6.3. */
+/** RFC 9112, section 6.3. */
 function hasBody({ headers }: IncomingMessage): boolean {
   const { 'content-length': length, 'transfer-encoding': encoding } = headers;
   return encoding !== undefined || (length !== undefined && length !== '0');
--- a/src/gateway/forwarder.ts
+++ b/src/gateway/forwarder.ts
@@ -23,7 +23,7 @@
 } from '../targets';
 import type { AttemptOutcome } from './attempt';
 import type { KeyGuard } from './key-guard';
-import { SecondSend, type SecondSendResult } from './second-send';
+import { RequestHedger, type HedgedResult } from './second-send';
 import type { SendRequest, Sender } from './sender';
 
 export interface ForwarderOptions {
@@ -39,101 +39,112 @@
   readonly metrics: Metrics;
 }
 
-/** A request on its way to the targets of a route. */
+/** A request to be sent to a target of a route. */
 export interface ForwardRequest extends SendRequest {
   readonly route: Route;
   readonly table: RouteTable;
   readonly placement: PlacementRequest;
 }
 
-/** How a request ended at the targets. */
+/** Final result of a request, after all attempts. */
 export type ForwardOutcome =
   | Extract<AttemptOutcome, { kind: 'answered' | 'streamed' }>
-  | { readonly kind: 'gone' }
+  | { readonly kind: 'caller-disconnected' }
   | {
       readonly kind: 'refused';
       readonly refusal: Refusal;
-      /** Whether a part of an answer went to the caller already. */
+      /** Whether part of a response was already sent to the caller. */
       readonly began: boolean;
       /** Whether it is certain that no target has run the request. */
       readonly isNotRun: boolean;
     };
 
-/** One request's service and the targets that were tried. */
-interface Course {
+/** State of a request across its attempts. */
+interface ForwardProgress {
   readonly request: ForwardRequest;
   readonly service: string;
+  /** Ids of targets. */
   readonly tried: Set<string>;
 }
 
-/** Sends requests to targets, again where it is certain that nothing is done twice. */
+/** Sends requests to targets and retries those that did not run, or may safely run again. */
 export class Forwarder {
   readonly #options: ForwarderOptions;
-  readonly #secondSend: SecondSend;
+  readonly #hedger: RequestHedger;
 
   constructor(options: ForwarderOptions) {
     this.#options = options;
-    this.#secondSend = new SecondSend(options);
+    this.#hedger = new RequestHedger(options);
   }
 
   async forward(request: ForwardRequest): Promise<ForwardOutcome> {
     const { exchange, route } = request;
     const service = pickService(route.services, this.#options.random.fraction())?.service ?? '';
-    const course: Course = { request, service, tried: new Set() };
-    let tries = NO_TRIES;
+    const progress: ForwardProgress = { request, service, tried: new Set() };
+    let attempts = NO_TRIES;
     for (;;) {
-      if (exchange.hasLeft()) return { kind: 'gone' };
+      if (exchange.hasDisconnected()) return { kind: 'caller-disconnected' };
       if (exchange.remainingMilliseconds <= 0) {
-        return refuse(refuseAsTooLate(tries.mayHaveRun), tries);
+        return refuse(refuseAsTooLate(attempts.mayHaveRun), attempts);
       }
       const forbidden = this.#options.keyGuard.recheck(exchange);
       if (forbidden !== undefined) {
-        const refusal = tries.mayHaveRun ? refuseAsUnknown(forbidden.message) : forbidden;
-        return refuse(refusal, tries);
+        const refusal = attempts.mayHaveRun ? refuseAsUnknown(forbidden.message) : forbidden;
+        return refuse(refusal, attempts);
       }
-      const placement = this.#place(course);
-      if (placement === undefined) return this.#refuseExhausted(course, tries);
-      const { outcome, sends } = await this.#try(placement, course, tries);
-      tries = { ...tries, reached: tries.reached + sends - 1 };
-      const next = this.#decideNext(request, tries, outcome);
+      const placement = this.#chooseTarget(progress);
+      if (placement === undefined) return this.#refuseExhausted(progress, attempts);
+      const { outcome, attemptCount } = await this.#attempt(placement, progress, attempts);
+      attempts = { ...attempts, reached: attempts.reached + attemptCount - 1 };
+      const next = this.#decideNext(request, attempts, outcome);
       switch (next.kind) {
         case 'deliver':
           return outcome as Extract<AttemptOutcome, { kind: 'answered' | 'streamed' }>;
         case 'caller-left':
-          return { kind: 'gone' };
+          return { kind: 'caller-disconnected' };
         case 'refuse':
           return { ...next, kind: 'refused' };
         case 'exhausted':
-          return this.#refuseExhausted(course, next.tries);
+          return this.#refuseExhausted(progress, next.tries);
         case 'try-another':
-          tries = next.tries;
+          attempts = next.tries;
       }
     }
   }
 
   #decideNext(
     { route, exchange }: ForwardRequest,
-    tries: Tries,
+    attempts: Tries,
     outcome: AttemptOutcome,
   ): NextStep {
     const { retries } = this.#options.switches;
-    return decideNext({ route, tries, outcome, hasCallerLeft: exchange.hasLeft(), retries });
+    return decideNext({
+      route,
+      tries: attempts,
+      outcome,
+      hasCallerLeft: exchange.hasDisconnected(),
+      retries,
+    });
   }
 
-  /** Tries a target; a late call that may be repeated goes to a second one too. */
-  async #try(placement: Placement, course: Course, tries: Tries): Promise<SecondSendResult> {
+  /** Makes one attempt, which is hedged if the route allows it and the response is late. */
+  async #attempt(
+    placement: Placement,
+    progress: ForwardProgress,
+    attempts: Tries,
+  ): Promise<HedgedResult> {
     const { switches, sender, metrics } = this.#options;
-    const { request } = course;
+    const { request } = progress;
     const first = sender.send(placement, request);
-    if (!switches['second-sends'] || !mayBeSentTwice(request.route, tries)) {
-      return { outcome: await first, sends: 1 };
+    if (!switches['second-sends'] || !mayBeSentTwice(request.route, attempts)) {
+      return { outcome: await first, attemptCount: 1 };
     }
-    return this.#secondSend.run({
+    return this.#hedger.run({
       route: request.route.name,
       first,
-      sendAgain: () => {
+      startSecondAttempt: () => {
         const isAllowed = this.#options.keyGuard.recheck(request.exchange) === undefined;
-        const other = isAllowed ? this.#place(course) : undefined;
+        const other = isAllowed ? this.#chooseTarget(progress) : undefined;
         if (other === undefined) return undefined;
         metrics.count('second_sends_total');
         return sender.send(other, request);
@@ -141,7 +152,7 @@
     });
   }
 
-  #place({ request, service, tried }: Course): Placement | undefined {
+  #chooseTarget({ request, service, tried }: ForwardProgress): Placement | undefined {
     const { placers, chooser } = this.#options;
     const settings = request.table.service(service);
     const placement = chooser.choose({
@@ -155,13 +166,13 @@
     return placement;
   }
 
-  #refuseExhausted({ service }: Course, tries: Tries): ForwardOutcome {
-    if (tries.mayHaveRun) return refuse(refuseAsUnknown('all tries failed'), tries);
+  #refuseExhausted({ service }: ForwardProgress, attempts: Tries): ForwardOutcome {
+    if (attempts.mayHaveRun) return refuse(refuseAsUnknown('all tries failed'), attempts);
     const { targets, durations } = this.#options;
     const loads = targets
       .ofService(service)
       .all.map(({ load, target }) => ({ load, slots: target.slots }));
-    return refuse(refuseWithoutTarget(service, loads, durations.of(service)), tries);
+    return refuse(refuseWithoutTarget(service, loads, durations.of(service)), attempts);
   }
 }
 
--- a/src/gateway/headers.ts
+++ b/src/gateway/headers.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), in lower case. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), in lower case. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'expect',
@@ -13,25 +13,24 @@
   'upgrade',
 ]);
 
-/** Drops the headers of one connection from a list of name, value, name, value. */
+/** Removes hop-by-hop headers from a list of alternating names and values. */
 export function withoutConnectionHeaders(
   rawHeaders: readonly string[],
-  isDropped: (lowerCaseName: string) => boolean,
+  isExcluded: (lowerCaseName: string) => boolean,
 ): string[] {
-  const named = namedByConnection(rawHeaders);
+  const listed = namesListedByConnection(rawHeaders);
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? '';
     const lowerCaseName = name.toLowerCase();
     if (CONNECTION_HEADERS.has(lowerCaseName)) continue;
-    if (named.has(lowerCaseName) || isDropped(lowerCaseName)) continue;
+    if (listed.has(lowerCaseName) || isExcluded(lowerCaseName)) continue;
     kept.push(name, rawHeaders[index + 1] ?? '');
   }
   return kept;
 }
 
-/** Header names that the Connection header lists. */
-function namedByConnection(rawHeaders: readonly string[]): ReadonlySet<string> {
+function namesListedByConnection(rawHeaders: readonly string[]): ReadonlySet<string> {
   const names = new Set<string>();
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     if (rawHeaders[index]?.toLowerCase() !== 'connection') continue;
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -2,7 +2,12 @@
 export { withoutConnectionHeaders } from './headers';
 export { GatewayServer } from './server';
 export { KeyGuard, type KeyGuardOptions } from './key-guard';
-export { FREE_PASS, QuotaGate, type QuotaGateOptions, type QuotaPass } from './quota-gate';
+export {
+  UNLIMITED_ADMISSION,
+  QuotaGate,
+  type QuotaGateOptions,
+  type QuotaAdmission,
+} from './quota-gate';
 export { Sender } from './sender';
 export { TurnHandler } from './turn-handler';
 export { TurnPreparer } from './turn-preparer';
--- a/src/gateway/key-guard.ts
+++ b/src/gateway/key-guard.ts
@@ -13,25 +13,25 @@
 import type { Exchange } from './exchange';
 
 /**
- * Longest wait until the newest configuration is known, before a key that no team holds is refused: a
- * greeting of the leader is due within 300 ms. Milliseconds.
+ * Time for which a caller waits for a confirmation by the leader before it is refused. Milliseconds; two
+ * heartbeats of the leader.
  */
-const ASK_MILLISECONDS = 600;
+const CONFIRMATION_TIMEOUT_MILLISECONDS = 600;
 
-/** Callers with unknown keys that wait at most; forged keys come in numbers. */
-const ASKERS_LIMIT = 256;
+/** Callers that may wait at once, so that requests with forged keys cannot exhaust memory. */
+const CONFIRMATION_WAITERS_LIMIT = 256;
 
 export interface KeyGuardOptions {
   readonly routes: () => RouteTable | undefined;
-  /** Version of the newest configuration that this process knows, readable or not. */
+  /** Version of the newest configuration that this process has received, including one it cannot parse. */
   readonly newestVersion: () => number;
   readonly confirmation: Confirmation;
-  /** Within which a removed key must be out of use; nothing where that is not asked for. Milliseconds. */
+  /** Time within which a removed key must stop working; undefined for no limit. */
   readonly removalMilliseconds: number | undefined;
   readonly metrics: Metrics;
 }
 
-/** Settles who asks, at the head of a request and again before each send. */
+/** Authenticates callers by their keys, on arrival of a request and again before each attempt. */
 export class KeyGuard {
   readonly #options: KeyGuardOptions;
 
@@ -39,25 +39,25 @@
     this.#options = options;
   }
 
-  /** Whether keys can be gone by here at present, as far as anybody needs one. */
+  /** Whether keys can be verified at present; always true for a configuration without teams. */
   get isConfirmed(): boolean {
     const { routes, removalMilliseconds, confirmation } = this.#options;
     if (routes()?.teams === undefined) return true;
     return this.#knowsNewest && mayUseKeys(confirmation.ageMilliseconds, removalMilliseconds);
   }
 
-  /** Notes the caller's team on the exchange; returns why it is not served. */
+  /** Sets the caller's team on the exchange; returns a refusal if the caller may not be served. */
   async admit(exchange: Exchange, route: Route): Promise<Refusal | undefined> {
     const identity = this.#identify(exchange, route.isPublic);
     const verdict = this.#judgeIdentity(identity);
-    const waits = identity.kind === 'team' ? this.#awaitsWord : verdict.kind === 'ask';
-    if (!waits) return this.#settle(exchange, identity, verdict);
-    await this.#awaitLeader(exchange);
-    const newer = this.#identify(exchange, route.isPublic);
-    return this.#settle(exchange, newer, this.#judgeIdentity(newer));
+    const mustWait = identity.kind === 'team' ? this.#awaitsConfirmation : verdict.kind === 'ask';
+    if (!mustWait) return this.#applyVerdict(exchange, identity, verdict);
+    await this.#awaitConfirmation(exchange);
+    const updated = this.#identify(exchange, route.isPublic);
+    return this.#applyVerdict(exchange, updated, this.#judgeIdentity(updated));
   }
 
-  /** Why a request that was admitted may not be sent any more, by what is known now. */
+  /** Returns a refusal if the key of an admitted request is no longer valid. */
   recheck(exchange: Exchange): Refusal | undefined {
     const { team } = exchange;
     if (team === undefined) return undefined;
@@ -67,19 +67,20 @@
     return verdict.kind === 'refuse' ? verdict.refusal : undefined;
   }
 
-  #settle(exchange: Exchange, identity: Identity, verdict: KeyVerdict): Refusal | undefined {
+  #applyVerdict(exchange: Exchange, identity: Identity, verdict: KeyVerdict): Refusal | undefined {
     const { routes, confirmation, removalMilliseconds } = this.#options;
     exchange.hidesKey = routes()?.teams !== undefined;
     exchange.team = identity.kind === 'team' ? identity.team : undefined;
     if (verdict.kind === 'serve') return undefined;
-    const refusal = verdict.kind === 'refuse' ? verdict.refusal : this.#refuseUnknown(exchange);
+    const refusal =
+      verdict.kind === 'refuse' ? verdict.refusal : this.#refusalForUnknownKey(exchange);
     const age = confirmation.ageMilliseconds;
-    exchange.decide({ step: 'key', verdict: refusal.code, age, removalMilliseconds });
+    exchange.recordDecision({ step: 'key', verdict: refusal.code, age, removalMilliseconds });
     return refusal;
   }
 
-  /** A key is unknown for certain only if the newest configuration was known after its caller came. */
-  #refuseUnknown({ arrivedAt }: Exchange): Refusal {
+  /** A key is definitely unknown only if the leader confirmed the configuration after the request arrived. */
+  #refusalForUnknownKey({ arrivedAt }: Exchange): Refusal {
     const { confirmation } = this.#options;
     return confirmation.isConfirmedSince(arrivedAt) ? UNKNOWN_KEY : KEYS_UNCONFIRMED;
   }
@@ -94,26 +95,25 @@
     return judgeKey({ identity, confirmationAge, removalMilliseconds });
   }
 
-  /** Whether the routes in use are those of the newest configuration, which may not be readable here. */
+  /** False while the newest configuration cannot be parsed by this process. */
   get #knowsNewest(): boolean {
     const { routes, newestVersion } = this.#options;
     return routes()?.configuration.version === newestVersion();
   }
 
   /**
-   * Whether keys are in use and the leader's word, which is missing, is due at any moment: after a start or
-   * a freeze. A process that has lost the leader refuses at once. Purpose: eight gateways that were frozen
-   * for six seconds refused 150 requests that had waited, some milliseconds before the word came.
+   * Whether the confirmation has expired only because this process just started or was suspended, so that
+   * a new one is due shortly. A process that has lost the leader refuses at once.
    */
-  get #awaitsWord(): boolean {
+  get #awaitsConfirmation(): boolean {
     return !this.isConfirmed && this.#options.confirmation.isDue;
   }
 
-  /** Waits for the leader's next word; all callers that need it share it. */
-  async #awaitLeader({ arrivedAt }: Exchange): Promise<void> {
+  /** Waits until the leader confirms the configuration, or the timeout passes. */
+  async #awaitConfirmation({ arrivedAt }: Exchange): Promise<void> {
     const { confirmation, metrics } = this.#options;
     metrics.count('keys_asked_total');
-    if (confirmation.waiting >= ASKERS_LIMIT) return;
-    await confirmation.confirmedSince(arrivedAt, ASK_MILLISECONDS);
+    if (confirmation.waiting >= CONFIRMATION_WAITERS_LIMIT) return;
+    await confirmation.confirmedSince(arrivedAt, CONFIRMATION_TIMEOUT_MILLISECONDS);
   }
 }
--- a/src/gateway/quota-gate.ts
+++ b/src/gateway/quota-gate.ts
@@ -9,15 +9,15 @@
   readonly random: RandomSource;
 }
 
-/** A request's part of its team's quota, which is asked for while other things are prepared. */
-export interface QuotaPass {
-  /** Why the request lies beyond the quota; nothing once it may go on. */
+/** A pending admission, so that a request can be prepared while the quota is checked. */
+export interface QuotaAdmission {
+  /** Resolves once the quota was checked: with a refusal, or with undefined if the request may proceed. */
   refusal(): Promise<Refusal | undefined>;
-  /** Tells that the request has not run and will not, at any time. */
-  giveBack(): void;
+  /** Returns the quota of a request that has not run and will not run. */
+  refund(): void;
 }
 
-/** Holds the requests of teams to their quotas. */
+/** Enforces the request quotas of teams. */
 export class QuotaGate {
   readonly #options: QuotaGateOptions;
 
@@ -25,15 +25,15 @@
     this.#options = options;
   }
 
-  /** Asks for a request's part; `isStart`: whether it begins a program. */
-  ask(exchange: Exchange, isStart: boolean): QuotaPass {
+  /** `isStart`: whether the request begins a program. */
+  requestAdmission(exchange: Exchange, isStart: boolean): QuotaAdmission {
     const { team } = exchange;
-    if (team === undefined) return FREE_PASS;
+    if (team === undefined) return UNLIMITED_ADMISSION;
     const { quotas } = this.#options;
     const outcome = quotas.admit(team, isStart, exchange.deadline);
     return {
       refusal: async () => this.#refuse(exchange, team, isStart, await outcome),
-      giveBack: () => {
+      refund: () => {
         void outcome.then(({ kind }) => {
           if (kind === 'granted') quotas.giveBack(team);
         });
@@ -49,15 +49,15 @@
   ): Refusal | undefined {
     const refusal = refuseByQuota(team.name, outcome, this.#options.random);
     if (refusal !== undefined) {
-      const { kind, ...facts } = outcome;
-      exchange.decide({ step: 'quota', outcome: kind, isStart, ...team.quota, ...facts });
+      const { kind, ...details } = outcome;
+      exchange.recordDecision({ step: 'quota', outcome: kind, isStart, ...team.quota, ...details });
     }
     return refusal;
   }
 }
 
-/** For callers without a team, who have no quota. */
-export const FREE_PASS: QuotaPass = {
+/** For callers without a team, which have no quota. */
+export const UNLIMITED_ADMISSION: QuotaAdmission = {
   refusal: () => Promise.resolve(undefined),
-  giveBack: () => undefined,
+  refund: () => undefined,
 };
--- a/src/gateway/second-send.ts
+++ b/src/gateway/second-send.ts
@@ -2,64 +2,62 @@
 import { SendBudget, UsualTimes } from '../decisions';
 import type { AttemptOutcome } from './attempt';
 
-/** Share of a route's calls that are answered before a second send; the others are late. */
-const USUAL_SHARE = 0.98;
+/** Quantile of a route's latency after which a call is hedged. */
+const HEDGE_QUANTILE = 0.98;
 
-/** Second sends for each call at most, where many are late at once. */
-const SEND_SHARE = 0.05;
+/** Bounds the additional load when many calls are late at once. */
+const HEDGES_PER_CALL = 0.05;
 
-const SERVER_ERROR = 500;
+const LOWEST_SERVER_ERROR_STATUS = 500;
 
-/** One or two tries of a call, and how the call came out of them. */
-export interface SecondSendResult {
+export interface HedgedResult {
   readonly outcome: AttemptOutcome;
-  /** Tries that were made. */
-  readonly sends: 1 | 2;
+  readonly attemptCount: 1 | 2;
 }
 
-export interface SecondSendOptions {
+export interface RequestHedgerOptions {
   readonly clock: Clock;
 }
 
-export interface CallTries {
+export interface HedgedCall {
   readonly route: string;
   readonly first: Promise<AttemptOutcome>;
-  /** Begins a try at another target; nothing if there is none. */
-  readonly sendAgain: () => Promise<AttemptOutcome> | undefined;
+  /** Starts an attempt at another target; undefined if there is none. */
+  readonly startSecondAttempt: () => Promise<AttemptOutcome> | undefined;
 }
 
 /**
- * Sends a call that may be repeated to a second target once it is later than nearly all calls of
- * its route are. Purpose: an answer that is lost, or a target that hangs, costs the usual time of a
- * call in place of its whole time limit. The slower try runs to its end: it is short, and ending it
- * would close its connection.
+ * Hedges repeatable calls: sends a call to a second target once it takes longer than a high quantile of
+ * its route's latency (Dean and Barroso, "The Tail at Scale"). The slower attempt is not cancelled, since
+ * that would close its connection.
  */
-export class SecondSend {
+export class RequestHedger {
   readonly #clock: Clock;
-  readonly #usual = new UsualTimes(USUAL_SHARE);
-  readonly #budget = new SendBudget(SEND_SHARE);
+  readonly #latencyQuantiles = new UsualTimes(HEDGE_QUANTILE);
+  readonly #budget = new SendBudget(HEDGES_PER_CALL);
 
-  constructor({ clock }: SecondSendOptions) {
+  constructor({ clock }: RequestHedgerOptions) {
     this.#clock = clock;
   }
 
-  async run({ route, first, sendAgain }: CallTries): Promise<SecondSendResult> {
+  async run({ route, first, startSecondAttempt }: HedgedCall): Promise<HedgedResult> {
     const startedAt = this.#clock.monotonic();
     this.#budget.noteCall();
-    const usual = this.#usual.of(route);
-    const isLate = usual !== undefined && (await this.#isLate(first, usual));
-    const second = isLate && this.#budget.take() ? sendAgain() : undefined;
-    const outcome = await (second === undefined ? first : better(first, second));
-    if (outcome.kind === 'answered') this.#usual.note(route, this.#clock.monotonic() - startedAt);
-    return { outcome, sends: second === undefined ? 1 : 2 };
+    const hedgeDelay = this.#latencyQuantiles.of(route);
+    const isLate = hedgeDelay !== undefined && (await this.#isLaterThan(first, hedgeDelay));
+    const second = isLate && this.#budget.take() ? startSecondAttempt() : undefined;
+    const outcome = await (second === undefined ? first : firstSuccess(first, second));
+    if (outcome.kind === 'answered')
+      this.#latencyQuantiles.note(route, this.#clock.monotonic() - startedAt);
+    return { outcome, attemptCount: second === undefined ? 1 : 2 };
   }
 
-  #isLate(first: Promise<AttemptOutcome>, usual: number): Promise<boolean> {
+  #isLaterThan(attempt: Promise<AttemptOutcome>, milliseconds: number): Promise<boolean> {
     return new Promise((resolve, reject) => {
-      const cancel = this.#clock.after(usual, () => {
+      const cancel = this.#clock.after(milliseconds, () => {
         resolve(true);
       });
-      first.then(() => {
+      attempt.then(() => {
         cancel();
         resolve(false);
       }, reject);
@@ -67,15 +65,15 @@
   }
 }
 
-/** The first good answer of two tries; if neither is good, what is known of both together. */
-function better(
+/** Resolves with the first successful outcome; if there is none, with the one of higher rank. */
+function firstSuccess(
   first: Promise<AttemptOutcome>,
   second: Promise<AttemptOutcome>,
 ): Promise<AttemptOutcome> {
   return new Promise((resolve, reject) => {
     let earlier: AttemptOutcome | undefined;
     const take = (outcome: AttemptOutcome) => {
-      if (isGood(outcome)) resolve(outcome);
+      if (isSuccess(outcome)) resolve(outcome);
       else if (earlier === undefined) earlier = outcome;
       else resolve(rankOf(outcome) > rankOf(earlier) ? outcome : earlier);
     };
@@ -84,8 +82,8 @@
   });
 }
 
-/** A call counts as not run only if neither try may have run. */
-const RANKS: Readonly<Record<AttemptOutcome['kind'], number>> = {
+/** A call counts as not run only if neither attempt may have run. */
+const OUTCOME_RANKS: Readonly<Record<AttemptOutcome['kind'], number>> = {
   'not-sent': 0,
   'not-run': 1,
   'given-up': 2,
@@ -95,9 +93,9 @@
 };
 
 function rankOf({ kind }: AttemptOutcome): number {
-  return RANKS[kind];
+  return OUTCOME_RANKS[kind];
 }
 
-function isGood(outcome: AttemptOutcome): boolean {
-  return outcome.kind === 'answered' && outcome.status < SERVER_ERROR;
+function isSuccess(outcome: AttemptOutcome): boolean {
+  return outcome.kind === 'answered' && outcome.status < LOWEST_SERVER_ERROR_STATUS;
 }
--- a/src/gateway/sender.ts
+++ b/src/gateway/sender.ts
@@ -1,12 +1,11 @@
 import type { Clock, Metrics } from '../core';
 import { type DecisionSwitches, type HealthEvent, MISDIRECTED } from '../decisions';
 import type { Placement, TargetConnections, UsualDurations } from '../targets';
-import { type AnswerReceiver, Attempt, type AttemptOutcome } from './attempt';
+import { type ResponseReceiver, Attempt, type AttemptOutcome } from './attempt';
 import type { Exchange } from './exchange';
 import type { Wire } from './wire';
 
-/** Lowest status by which a target says that it failed. */
-const SERVER_ERROR = 500;
+const LOWEST_SERVER_ERROR_STATUS = 500;
 
 export interface SenderOptions {
   readonly wire: Wire;
@@ -17,17 +16,17 @@
   readonly metrics: Metrics;
 }
 
-/** What is to be sent, and where its answer goes. */
+/** A request and the receiver of its response. */
 export interface SendRequest {
   readonly exchange: Exchange;
   readonly body: Buffer | null;
   readonly priority?: number | undefined;
-  readonly receiver?: AnswerReceiver | undefined;
-  /** Told of the try that is under way, so that a paused answer can go on. */
+  readonly receiver?: ResponseReceiver | undefined;
+  /** Called when an attempt starts, so that the caller of `send` can resume a paused response. */
   readonly onAttempt?: (attempt: Attempt, placement: Placement) => void;
 }
 
-/** Makes one try at one target, and notes how it ended: for the target, the log and the metrics. */
+/** Makes one attempt at one target and records its outcome in the target's health, the log and the metrics. */
 export class Sender {
   readonly #options: SenderOptions;
 
@@ -44,7 +43,7 @@
       durations.note(placement.state.target.service, clock.monotonic() - sentAt);
     }
     metrics.count(`attempts_total{outcome="${outcome.kind}"}`);
-    exchange.decide(describeTry(placement, outcome));
+    exchange.recordDecision(describeAttempt(placement, outcome));
     const event = this.#healthEvent(outcome, exchange);
     if (event !== undefined) placement.state.note(event);
     return outcome;
@@ -55,11 +54,11 @@
     const { exchange } = request;
     const { state } = placement;
     const attempt = this.#createAttempt(placement, request);
-    const stopListening = exchange.onGone(() => {
-      attempt.giveUp();
+    const removeDisconnectListener = exchange.onDisconnect(() => {
+      attempt.cancel();
     });
     const cancelTimer = clock.after(Math.max(0, exchange.remainingMilliseconds), () => {
-      attempt.giveUp();
+      attempt.cancel();
     });
     state.inFlight += 1;
     request.onAttempt?.(attempt, placement);
@@ -67,7 +66,7 @@
       return await attempt.run();
     } finally {
       state.inFlight -= 1;
-      stopListening();
+      removeDisconnectListener();
       cancelTimer();
     }
   }
@@ -95,27 +94,27 @@
     });
   }
 
-  /** What an outcome says of the target; nothing where it tells of the caller alone. */
+  /** Undefined if the outcome says nothing about the target's health. */
   #healthEvent(outcome: AttemptOutcome, exchange: Exchange): HealthEvent | undefined {
     const unreachable = this.#options.switches.pauses ? 'unreachable' : 'answered-with-error';
     switch (outcome.kind) {
       case 'not-run':
         return outcome.status === MISDIRECTED ? 'address-reused' : undefined;
       case 'answered':
-        return outcome.status >= SERVER_ERROR ? 'answered-with-error' : 'answered';
+        return outcome.status >= LOWEST_SERVER_ERROR_STATUS ? 'answered-with-error' : 'answered';
       case 'streamed':
         return 'answered';
       case 'not-sent':
       case 'unknown':
         return unreachable;
       case 'given-up':
-        return outcome.began || exchange.hasLeft() ? undefined : unreachable;
+        return outcome.began || exchange.hasDisconnected() ? undefined : unreachable;
     }
   }
 }
 
-/** A try as the request's log line tells it. */
-function describeTry(
+/** Fields of an attempt in the request's log line. */
+function describeAttempt(
   { state, cost, candidates, ages }: Placement,
   outcome: AttemptOutcome,
 ): Record<string, unknown> {
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -17,16 +17,12 @@
 import type { TurnHandler } from './turn-handler';
 import type { Wire } from './wire';
 
-/** Pause between looks for callers that are too slow with their headers; milliseconds. */
-const CHECK_MILLISECONDS = 1000;
+const TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
 
-/** Longest wait for a whole request, however slowly it comes; milliseconds. */
-const REQUEST_MILLISECONDS = 60_000;
+/** Time within which a complete request, including its body, must arrive. */
+const REQUEST_TIMEOUT_MILLISECONDS = 60_000;
 
-/**
- * Pause that a refusal asks for while no configuration is known; an election after a start of all
- * processes takes 0.6 s. Seconds.
- */
+/** Covers the election of a leader after all processes have started. */
 const CONFIGURATION_RETRY_SECONDS = 0.7;
 
 export interface GatewayServerOptions {
@@ -37,34 +33,34 @@
   readonly turnHandler: Pick<TurnHandler, 'handle'>;
   readonly keyGuard: Pick<KeyGuard, 'admit'>;
   readonly routes: () => RouteTable | undefined;
-  /** Whether callers are well served here; if not they are told to open another connection. */
+  /** While false, callers are told to close their connections so that they reconnect elsewhere. */
   readonly isReady: () => boolean;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Takes the requests of callers. */
+/** HTTP server for the requests of callers. */
 export class GatewayServer implements Component {
   readonly #options: GatewayServerOptions;
   readonly #server: Server;
-  readonly #underWay = new Set<Exchange>();
-  #refusing = false;
+  readonly #activeExchanges = new Set<Exchange>();
+  #isDraining = false;
   #onIdle: () => void = () => undefined;
 
   constructor(options: GatewayServerOptions) {
     this.#options = options;
     this.#server = createServer(
       {
-        connectionsCheckingInterval: CHECK_MILLISECONDS,
-        requestTimeout: REQUEST_MILLISECONDS,
+        connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MILLISECONDS,
+        requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
         noDelay: true,
       },
       (request, response) => {
         void this.#serve(request, response);
       },
     );
-    options.metrics.gauge('requests_under_way', () => this.#underWay.size);
+    options.metrics.gauge('requests_under_way', () => this.#activeExchanges.size);
   }
 
   start(): Promise<void> {
@@ -80,7 +76,7 @@
     this.#server.closeAllConnections();
   }
 
-  /** Takes the bounds of a new configuration; they hold for connections that come later. */
+  /** Applies the limits of a new configuration; they affect new connections only. */
   limit({ headerBytes, headerMilliseconds, idleMilliseconds }: CallerLimits): void {
     const server = this.#server as Server & { maxHeaderSize?: number };
     server.maxHeaderSize = headerBytes;
@@ -88,16 +84,16 @@
     server.keepAliveTimeout = idleMilliseconds;
   }
 
-  /** From now on new requests are refused, and connections without a request are closed. */
+  /** Stops listening, closes idle connections and refuses new requests on the others. */
   refuseNew(): void {
-    this.#refusing = true;
+    this.#isDraining = true;
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
-  /** Resolves when no request is under way. */
+  /** Resolves once no request is in progress. */
   idle(): Promise<void> {
-    if (this.#underWay.size === 0) return Promise.resolve();
+    if (this.#activeExchanges.size === 0) return Promise.resolve();
     return new Promise((resolve) => {
       this.#onIdle = resolve;
     });
@@ -112,23 +108,23 @@
       clock,
       logger,
       metrics,
-      closes: () => !isReady(),
+      closesConnection: () => !isReady(),
     });
-    this.#underWay.add(exchange);
+    this.#activeExchanges.add(exchange);
     try {
       await this.#route(exchange);
     } catch (error) {
       logger.error({ event: 'request-failed', request: exchange.head.id, error: messageOf(error) });
-      exchange.breakOff('an error of the gateway');
+      exchange.abort('internal error of the gateway');
     } finally {
-      this.#underWay.delete(exchange);
-      if (this.#underWay.size === 0) this.#onIdle();
+      this.#activeExchanges.delete(exchange);
+      if (this.#activeExchanges.size === 0) this.#onIdle();
     }
   }
 
   async #route(exchange: Exchange): Promise<void> {
     const table = this.#options.routes();
-    if (this.#refusing) {
+    if (this.#isDraining) {
       exchange.refuse(STOPPING);
       return;
     }
@@ -140,7 +136,7 @@
     const path = (exchange.request.url ?? '/').split('?', 1)[0] ?? '/';
     const route = table.find(host, path);
     if (route === undefined) {
-      exchange.refuse(noRoute(table.configuration.version));
+      exchange.refuse(noRouteRefusal(table.configuration.version));
       return;
     }
     exchange.route = route;
@@ -162,7 +158,7 @@
   retryAfterSeconds: CONFIGURATION_RETRY_SECONDS,
 };
 
-/** Another process takes the request at once. */
+/** The caller may retry at once, since another gateway takes the request. */
 const STOPPING: Refusal = {
   status: 503,
   code: 'stopping',
@@ -170,7 +166,7 @@
   retryAfterSeconds: 0,
 };
 
-function noRoute(version: number): Refusal {
+function noRouteRefusal(version: number): Refusal {
   const message = `configuration ${version} has no route for this host and path`;
   return { status: 404, code: 'no_route', message };
 }
--- a/src/gateway/tests/forwarder.test.ts
+++ b/src/gateway/tests/forwarder.test.ts
@@ -39,7 +39,7 @@
 });
 
 const EXCHANGE = {
-  hasLeft: () => false,
+  hasDisconnected: () => false,
   remainingMilliseconds: 500,
 } as unknown as Exchange;
 
@@ -51,15 +51,15 @@
   placement: { parts: [], promptTokens: 0, lastTarget: undefined, heldTokens: 0 },
 };
 
-interface ForwarderParts {
-  /** Why the caller's key may not be used, asked before each send. */
+interface ForwarderFixtureOptions {
+  /** Replaces the check of the caller's key before each attempt. */
   readonly recheck?: () => Refusal | undefined;
   readonly targets: TargetDirectory;
   readonly wire: Wire;
   readonly take: () => TargetConnection;
 }
 
-function createForwarder({ targets, wire, take, recheck }: ForwarderParts): Forwarder {
+function createForwarder({ targets, wire, take, recheck }: ForwarderFixtureOptions): Forwarder {
   const shared = {
     clock: new ManualClock(),
     random: new SeededRandom(1),
@@ -77,8 +77,8 @@
   });
 }
 
-describe('a request for a target whose connections are all in use', () => {
-  it('is refused as not run, without a connection more', async () => {
+describe('a request for a target at its connection limit', () => {
+  it('is refused as not run, without opening another connection', async () => {
     const clock = new ManualClock();
     const random = new SeededRandom(1);
     const parts = { clock, random, logger: createSilentLogger() };
@@ -97,7 +97,7 @@
       },
     ]);
     const state = targets.get('t');
-    if (state === undefined) throw new Error('the target was not taken');
+    if (state === undefined) throw new Error('target t is missing from the directory');
     state.inFlight = 1;
     state.inFlightElsewhere = 1;
     const take = jest.fn();
@@ -112,10 +112,10 @@
   });
 });
 
-/** Sends a stream to two engines that both end their connections before any event; counts tries. */
-async function countTries(
+/** Sends a stream to two engines that both reset the connection before any event; counts attempts. */
+async function countAttempts(
   isResumable: boolean,
-  recheck?: (tries: number) => Refusal | undefined,
+  recheck?: (attempts: number) => Refusal | undefined,
 ): Promise<number> {
   const clock = new ManualClock();
   const random = new SeededRandom(1);
@@ -123,10 +123,10 @@
   const targets = new TargetDirectory({ ...parts, source: { list: () => Promise.resolve([]) } });
   const listed = { service: 's', availabilityZone: 'a', slots: 1, draining: false };
   targets.take(['t1', 't2'].map((id) => ({ ...listed, id, address: `${id}:80` })));
-  let tries = 0;
+  let attempts = 0;
   const take = (): TargetConnection => ({
     dispatch: (_options, handler) => {
-      tries += 1;
+      attempts += 1;
       const controller = { abort: () => undefined } as unknown as Dispatcher.DispatchController;
       handler.onRequestStart?.(controller, {});
       handler.onResponseError?.(controller, new Error('reset'));
@@ -136,34 +136,34 @@
     discard: () => undefined,
   });
   const wire = { buildTargetHeaders: () => [] } as unknown as Wire;
-  const forwarder = createForwarder({ targets, wire, take, recheck: () => recheck?.(tries) });
+  const forwarder = createForwarder({ targets, wire, take, recheck: () => recheck?.(attempts) });
   const exchange = {
-    hasLeft: () => false,
+    hasDisconnected: () => false,
     remainingMilliseconds: 500,
     head: { id: 'r' },
     request: { rawHeaders: [], method: 'POST', url: '/' },
-    onGone: () => () => undefined,
-    decide: () => undefined,
+    onDisconnect: () => () => undefined,
+    recordDecision: () => undefined,
   } as unknown as Exchange;
   const route: Route = { ...ROUTE, kind: 'stream', isResumable };
   const outcome = await forwarder.forward({ ...REQUEST, exchange, route });
   expect(outcome).toMatchObject({ kind: 'refused', isNotRun: false });
-  return tries;
+  return attempts;
 }
 
-describe('a stream whose engine ended the connection before the first event', () => {
-  it('is sent to another engine where it may be resumed', async () => {
-    expect(await countTries(true)).toBe(2);
+describe('a stream whose engine reset the connection before the first event', () => {
+  it('is sent to another engine if its route is resumable', async () => {
+    expect(await countAttempts(true)).toBe(2);
   });
 
-  it('is not sent again elsewhere where it may not', async () => {
-    expect(await countTries(false)).toBe(1);
+  it('is not sent to another engine if its route is not resumable', async () => {
+    expect(await countAttempts(false)).toBe(1);
   });
 });
 
-describe('a request whose key is taken away while it is tried', () => {
-  it('is not sent again, though its route allows it', async () => {
-    const recheck = (tries: number) => (tries > 0 ? UNKNOWN_KEY : undefined);
-    expect(await countTries(true, recheck)).toBe(1);
+describe('a request whose key is revoked during an attempt', () => {
+  it('is not retried, even if its route allows it', async () => {
+    const recheck = (attempts: number) => (attempts > 0 ? UNKNOWN_KEY : undefined);
+    expect(await countAttempts(true, recheck)).toBe(1);
   });
 });
--- a/src/gateway/tests/key-guard.test.ts
+++ b/src/gateway/tests/key-guard.test.ts
@@ -17,7 +17,7 @@
   return new RouteTable({ version, routes: [], services: [], limits, teams });
 }
 
-class GuardFixture {
+class KeyGuardFixture {
   readonly clock = new ManualClock();
   readonly confirmation = new Confirmation(this.clock);
   readonly guard: KeyGuard;
@@ -37,10 +37,10 @@
 
   exchange(key: string | undefined): Exchange {
     const arrivedAt = this.clock.monotonic();
-    return { head: { key }, arrivedAt, decide: () => undefined } as unknown as Exchange;
+    return { head: { key }, arrivedAt, recordDecision: () => undefined } as unknown as Exchange;
   }
 
-  /** Lets time pass in a process that runs. */
+  /** Advances time in a process that is not suspended. */
   runFor(milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += 100) {
       this.clock.advance(100);
@@ -54,24 +54,24 @@
   }
 }
 
-describe('a gateway that settles who asks', () => {
-  it('notes the team of the key, and that targets are not shown it', async () => {
-    const { guard, ...fixture } = new GuardFixture();
+describe('KeyGuard', () => {
+  it('sets the team of the key and hides the key from targets', async () => {
+    const { guard, ...fixture } = new KeyGuardFixture();
     const exchange = { head: { key: 'b1' }, arrivedAt: 0 } as unknown as Exchange;
     expect(await guard.admit(exchange, ROUTE)).toBeUndefined();
     expect([exchange.team?.name, exchange.hidesKey]).toEqual(['blue', true]);
     expect(fixture.confirmation.waiting).toBe(0);
   });
 
-  it('refuses at once without a key, also while the leader is awaited', async () => {
-    const fixture = new GuardFixture(false);
+  it('refuses a request without a key at once, even before the first confirmation by the leader', async () => {
+    const fixture = new KeyGuardFixture(false);
     const refusal = await fixture.guard.admit(fixture.exchange(undefined), ROUTE);
     expect(refusal).toMatchObject({ status: 401, code: 'no_key' });
   });
 
-  describe('while the leader is not reached', () => {
-    it('serves for a part of the time, and then refuses at once as not run', async () => {
-      const fixture = new GuardFixture();
+  describe('while the leader is unreachable', () => {
+    it('serves for 85% of the key removal time, then refuses at once', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.runFor(4200);
       expect(await fixture.guard.admit(fixture.exchange('r1'), ROUTE)).toBeUndefined();
       expect(fixture.guard.isConfirmed).toBe(true);
@@ -81,8 +81,8 @@
       expect(fixture.guard.isConfirmed).toBe(false);
     });
 
-    it('refuses what waited while the process was frozen, unless the leader speaks soon', async () => {
-      const fixture = new GuardFixture();
+    it('refuses requests that arrived during a suspension if the leader does not confirm in time', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.clock.jump(20_000);
       const admitted = fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       fixture.clock.advance(600);
@@ -90,8 +90,8 @@
       expect(refusal).toMatchObject({ status: 503, code: 'keys_unconfirmed' });
     });
 
-    it('serves what waited while the process was frozen once the leader has spoken', async () => {
-      const fixture = new GuardFixture();
+    it('serves requests that arrived during a suspension once the leader confirms', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.clock.jump(20_000);
       const first = fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       fixture.confirmation.noteRunning();
@@ -101,8 +101,8 @@
       expect(await Promise.all([first, second])).toEqual([undefined, undefined]);
     });
 
-    it('does not take a word from before the freeze for one after it', async () => {
-      const fixture = new GuardFixture();
+    it('does not accept a confirmation from before the suspension', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.clock.jump(20_000);
       const admitted = fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       fixture.confirmation.confirm(100);
@@ -110,8 +110,8 @@
       expect(await admitted).toMatchObject({ status: 503, code: 'keys_unconfirmed' });
     });
 
-    it('sends nothing more of what it had admitted', async () => {
-      const fixture = new GuardFixture();
+    it('rejects the recheck of an admitted request once the confirmation has expired', async () => {
+      const fixture = new KeyGuardFixture();
       const exchange = fixture.exchange('r1');
       await fixture.guard.admit(exchange, ROUTE);
       expect(fixture.guard.recheck(exchange)).toBeUndefined();
@@ -120,33 +120,33 @@
     });
   });
 
-  describe('that was started again', () => {
-    it("waits for the leader's first word, and serves with it", async () => {
-      const fixture = new GuardFixture(false);
+  describe('after a restart', () => {
+    it('waits for the first confirmation by the leader, then serves', async () => {
+      const fixture = new KeyGuardFixture(false);
       const admitted = fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       fixture.clock.advance(200);
       fixture.confirmation.confirm(200);
       expect(await admitted).toBeUndefined();
     });
 
-    it('refuses at once when no leader was heard for some seconds', async () => {
-      const fixture = new GuardFixture(false);
+    it('refuses at once if the leader did not confirm within 3 s after the start', async () => {
+      const fixture = new KeyGuardFixture(false);
       fixture.runFor(3100);
       const refusal = await fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       expect(refusal).toMatchObject({ status: 503, code: 'keys_unconfirmed' });
     });
 
-    it('serves nobody by what it knew before, if no leader is heard', async () => {
-      const fixture = new GuardFixture(false);
+    it('refuses known keys if the leader does not confirm in time', async () => {
+      const fixture = new KeyGuardFixture(false);
       const admitted = fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       fixture.clock.advance(600);
       expect(await admitted).toMatchObject({ status: 503, code: 'keys_unconfirmed' });
     });
   });
 
-  describe('given a key that it does not know', () => {
-    it('serves if the newest configuration has it, which it learns of meanwhile', async () => {
-      const fixture = new GuardFixture();
+  describe('for an unknown key', () => {
+    it('serves if a configuration that arrives during the wait has the key', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.clock.advance(100);
       const exchange = fixture.exchange('r2');
       const admitted = fixture.guard.admit(exchange, ROUTE);
@@ -156,16 +156,16 @@
       expect(exchange.team?.name).toBe('red');
     });
 
-    it('refuses for good only when the leader has confirmed that nobody has it', async () => {
-      const fixture = new GuardFixture();
+    it('refuses with 401 only after the leader has confirmed the configuration', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.clock.advance(100);
       const admitted = fixture.guard.admit(fixture.exchange('r2'), ROUTE);
       fixture.confirmation.confirm(150);
       expect(await admitted).toMatchObject({ status: 401, code: 'unknown_key' });
     });
 
-    it('refuses for now where the leader is not reached', async () => {
-      const fixture = new GuardFixture();
+    it('refuses with 503 if the leader is unreachable', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.clock.advance(100);
       const admitted = fixture.guard.admit(fixture.exchange('r2'), ROUTE);
       fixture.clock.advance(600);
@@ -173,9 +173,9 @@
     });
   });
 
-  describe('that learns of a newer configuration', () => {
-    it('sends nothing more under a key that was removed, or that another team has now', async () => {
-      const fixture = new GuardFixture();
+  describe('after a change of the configuration', () => {
+    it('rejects the recheck of a key that was removed or moved to another team', async () => {
+      const fixture = new KeyGuardFixture();
       const red = fixture.exchange('r1');
       const blue = fixture.exchange('b1');
       await fixture.guard.admit(red, ROUTE);
@@ -186,8 +186,8 @@
       expect(blue.team?.name).toBe('blue');
     });
 
-    it('serves nobody by the old one if it can not read the new one', async () => {
-      const fixture = new GuardFixture();
+    it('refuses if it cannot parse the newest configuration', async () => {
+      const fixture = new KeyGuardFixture();
       fixture.newestVersion = 2;
       const refusal = await fixture.guard.admit(fixture.exchange('r1'), ROUTE);
       expect(refusal).toMatchObject({ status: 503, code: 'keys_unconfirmed' });
--- a/src/gateway/tests/second-send.test.ts
+++ b/src/gateway/tests/second-send.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SendBudget, UsualTimes } from '../../decisions';
 import type { AttemptOutcome } from '../attempt';
-import { SecondSend } from '../second-send';
+import { RequestHedger } from '../second-send';
 
 const ROUTE = 'r';
 const ANSWERED: AttemptOutcome = {
@@ -17,78 +17,78 @@
   for (let round = 0; round < 8; round += 1) await Promise.resolve();
 }
 
-/** A second send that has learned that calls take 20 ms at most, and a call that is silent for now. */
-async function callAfterManyQuickOnes() {
+/** Starts a call without a response, after 64 calls of at most 20 ms on the same route. */
+async function startSlowCall() {
   const clock = new ManualClock();
-  const secondSend = new SecondSend({ clock });
-  const sendAgain = jest.fn((): Promise<AttemptOutcome> | undefined => undefined);
+  const hedger = new RequestHedger({ clock });
+  const startSecondAttempt = jest.fn((): Promise<AttemptOutcome> | undefined => undefined);
   for (let count = 0; count < 64; count += 1) {
-    // One in thirty takes 20 ms, the others 10.
+    // More than 2% of the calls take 20 ms, so this is the 0.98 quantile.
     const milliseconds = count % 30 === 0 ? 20 : 10;
-    const answered = secondSend.run({
+    const answered = hedger.run({
       route: ROUTE,
       first: new Promise((resolve) =>
         clock.after(milliseconds, () => {
           resolve(ANSWERED);
         }),
       ),
-      sendAgain,
+      startSecondAttempt,
     });
     clock.advance(milliseconds);
     await answered;
   }
-  sendAgain.mockClear();
+  startSecondAttempt.mockClear();
   let endFirst: (outcome: AttemptOutcome) => void = () => undefined;
   const first = new Promise<AttemptOutcome>((resolve) => {
     endFirst = resolve;
   });
-  const result = secondSend.run({ route: ROUTE, first, sendAgain });
-  return { clock, sendAgain, endFirst, result };
+  const result = hedger.run({ route: ROUTE, first, startSecondAttempt });
+  return { clock, startSecondAttempt, endFirst, result };
 }
 
-describe('a call that may be repeated', () => {
-  it('goes to one target while it takes the usual time', async () => {
-    const { clock, sendAgain, endFirst, result } = await callAfterManyQuickOnes();
+describe('a repeatable call', () => {
+  it('is sent to one target if it is answered before the hedge delay', async () => {
+    const { clock, startSecondAttempt, endFirst, result } = await startSlowCall();
     clock.advance(19);
     endFirst(ANSWERED);
-    expect(await result).toEqual({ outcome: ANSWERED, sends: 1 });
-    expect(sendAgain).not.toHaveBeenCalled();
+    expect(await result).toEqual({ outcome: ANSWERED, attemptCount: 1 });
+    expect(startSecondAttempt).not.toHaveBeenCalled();
   });
 
-  it('goes to a second one when it is late, and the good answer counts', async () => {
-    const { clock, sendAgain, result } = await callAfterManyQuickOnes();
-    sendAgain.mockReturnValue(Promise.resolve(ANSWERED));
+  it('is sent to a second target after the hedge delay, and the successful response is used', async () => {
+    const { clock, startSecondAttempt, result } = await startSlowCall();
+    startSecondAttempt.mockReturnValue(Promise.resolve(ANSWERED));
     clock.advance(25);
-    expect(await result).toEqual({ outcome: ANSWERED, sends: 2 });
+    expect(await result).toEqual({ outcome: ANSWERED, attemptCount: 2 });
   });
 
-  it('is still answered by the first where the second did not run it', async () => {
-    const { clock, sendAgain, endFirst, result } = await callAfterManyQuickOnes();
-    sendAgain.mockReturnValue(Promise.resolve(NOT_RUN));
+  it('uses the response of the first target if the second did not run the call', async () => {
+    const { clock, startSecondAttempt, endFirst, result } = await startSlowCall();
+    startSecondAttempt.mockReturnValue(Promise.resolve(NOT_RUN));
     clock.advance(25);
     await settle();
     endFirst(ANSWERED);
     expect(await result).toMatchObject({ outcome: ANSWERED });
   });
 
-  it('does not count as not run where one of two tries may have run', async () => {
-    const { clock, sendAgain, endFirst, result } = await callAfterManyQuickOnes();
-    sendAgain.mockReturnValue(Promise.resolve(NOT_RUN));
+  it('does not count as not run if one of the two attempts may have run', async () => {
+    const { clock, startSecondAttempt, endFirst, result } = await startSlowCall();
+    startSecondAttempt.mockReturnValue(Promise.resolve(NOT_RUN));
     clock.advance(25);
     await settle();
     endFirst(LOST);
-    expect(await result).toEqual({ outcome: LOST, sends: 2 });
+    expect(await result).toEqual({ outcome: LOST, attemptCount: 2 });
   });
 });
 
-describe('the usual time of a route', () => {
-  it('is not known before some calls were answered', () => {
+describe('the latency quantile of a route', () => {
+  it('is undefined until 32 calls were answered', () => {
     const times = new UsualTimes(0.98);
     for (let count = 0; count < 31; count += 1) times.note(ROUTE, 10);
     expect(times.of(ROUTE)).toBeUndefined();
   });
 
-  it('follows the answers of late', () => {
+  it('reflects the latest 128 responses', () => {
     const times = new UsualTimes(0.98);
     for (let count = 0; count < 128; count += 1) times.note(ROUTE, 10);
     expect(times.of(ROUTE)).toBe(10);
@@ -97,8 +97,8 @@
   });
 });
 
-describe('the budget of second sends', () => {
-  it('runs out where all calls are late, and grows by their share', () => {
+describe('the budget of hedged requests', () => {
+  it('limits 1000 late calls to the initial budget and 5% of the calls', () => {
     const budget = new SendBudget(0.05);
     let taken = 0;
     for (let count = 0; count < 1000; count += 1) {
--- a/src/gateway/tests/stopping.test.ts
+++ b/src/gateway/tests/stopping.test.ts
@@ -2,7 +2,7 @@
 import { type Address, Metrics, SystemClock, createSilentLogger } from '../../core';
 import { findFreeAddresses } from '../../local';
 import { RouteTable } from '../../routes';
-import { FREE_PASS, type Forwarder, GatewayServer, type QuotaGate, type Wire } from '..';
+import { UNLIMITED_ADMISSION, type Forwarder, GatewayServer, type QuotaGate, type Wire } from '..';
 
 const WIRE: Wire = {
   readRequest: () => ({
@@ -49,10 +49,10 @@
   teams: undefined,
 });
 
-/** Holds the one request that it is given until it is let go. */
-class HoldingForwarder {
+/** Blocks its only request until `release` is called. */
+class BlockingForwarder {
   readonly arrived: Promise<void>;
-  letGo: () => void = () => undefined;
+  release: () => void = () => undefined;
   #arrive: () => void = () => undefined;
 
   constructor() {
@@ -63,7 +63,7 @@
 
   async forward() {
     const held = new Promise<void>((resolve) => {
-      this.letGo = resolve;
+      this.release = resolve;
     });
     this.#arrive();
     await held;
@@ -71,32 +71,32 @@
   }
 }
 
-function ask({ host, port }: Address): Promise<IncomingMessage> {
+function sendRequest({ host, port }: Address): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
-    const asked = request({ host, port, agent: false, path: '/a', headers: { host: 'h' } });
-    asked.once('response', (answer) => {
-      answer.resume();
-      answer.once('end', () => {
-        resolve(answer);
+    const clientRequest = request({ host, port, agent: false, path: '/a', headers: { host: 'h' } });
+    clientRequest.once('response', (response) => {
+      response.resume();
+      response.once('end', () => {
+        resolve(response);
       });
     });
-    asked.once('error', reject);
-    asked.end();
+    clientRequest.once('error', reject);
+    clientRequest.end();
   });
 }
 
-describe('a gateway that stops', () => {
-  it('finishes the request that it took, and takes no other', async () => {
+describe('a gateway that is stopping', () => {
+  it('completes the request in progress and accepts no other', async () => {
     const [address] = await findFreeAddresses(['127.0.0.1']);
     if (address === undefined) throw new Error('no free address');
-    const forwarder = new HoldingForwarder();
+    const forwarder = new BlockingForwarder();
     const server = new GatewayServer({
       address,
       wire: WIRE,
       forwarder: forwarder as unknown as Forwarder,
       turnHandler: { handle: () => Promise.resolve() },
       keyGuard: { admit: () => Promise.resolve(undefined) },
-      quotaGate: { ask: () => FREE_PASS } as unknown as QuotaGate,
+      quotaGate: { requestAdmission: () => UNLIMITED_ADMISSION } as unknown as QuotaGate,
       routes: () => TABLE,
       isReady: () => false,
       clock: new SystemClock(),
@@ -104,13 +104,13 @@
       metrics: new Metrics(),
     });
     await server.start();
-    const taken = ask(address);
+    const pending = sendRequest(address);
     await forwarder.arrived;
     server.refuseNew();
-    await expect(ask(address)).rejects.toThrow('ECONNREFUSED');
-    forwarder.letGo();
-    const answer = await taken;
-    expect([answer.statusCode, answer.headers.connection]).toEqual([200, 'close']);
+    await expect(sendRequest(address)).rejects.toThrow('ECONNREFUSED');
+    forwarder.release();
+    const response = await pending;
+    expect([response.statusCode, response.headers.connection]).toEqual([200, 'close']);
     await server.idle();
     server.stop();
   });
--- a/src/gateway/tests/turn-handler.test.ts
+++ b/src/gateway/tests/turn-handler.test.ts
@@ -10,15 +10,18 @@
 import { TurnPreparer } from '../turn-preparer';
 
 const ROUTE = { name: 'r', kind: 'stream', retentionSeconds: 60 } as unknown as Route;
-/** The callers here have no team. */
+/** Callers in these tests have no team. */
 const WITHOUT_QUOTAS = new QuotaGate({
-  quotas: { admit: () => Promise.reject(new Error('not expected')), giveBack: () => undefined },
+  quotas: {
+    admit: () => Promise.reject(new Error('unexpected quota request for a caller without a team')),
+    giveBack: () => undefined,
+  },
   random: new SeededRandom(1),
 });
 
 const TABLE = { configuration: { limits: { bodyBytes: 1000 } } } as unknown as RouteTable;
 
-/** Handles one turn while no store answers; returns the refusal and the time that was allowed. */
+/** Handles one turn while no store answers; returns the refusal and the time given to the stores. */
 async function refuseWithoutStores(reachesQuorum: boolean) {
   const clock = new ManualClock();
   const refusals: Refusal[] = [];
@@ -27,7 +30,7 @@
     head: { id: 't', program: 'p', budget: 100, mostTokens: 10, parts: [], promptTokens: 5 },
     deadline: clock.monotonic() + 4000,
     readBody: () => Promise.resolve(Buffer.from('x')),
-    decide: () => undefined,
+    recordDecision: () => undefined,
     refuse: (refusal: Refusal) => refusals.push(refusal),
   } as unknown as Exchange;
   const turns = {
@@ -49,36 +52,36 @@
     metrics: new Metrics(),
   });
   await handler.handle(exchange, ROUTE, TABLE);
-  return { refusal: refusals[0], allowedMilliseconds: deadlines[0] };
+  return { refusal: refusals[0], storeTimeoutMilliseconds: deadlines[0] };
 }
 
-describe('a turn for which too few stores answer', () => {
-  it('is refused within 50 ms where they are known to be out of reach, for a second', async () => {
-    const { refusal, allowedMilliseconds } = await refuseWithoutStores(false);
+describe('a turn without a quorum of stores', () => {
+  it('is refused within 50 ms if the quorum is known to be unreachable, with a retry after 1 s', async () => {
+    const { refusal, storeTimeoutMilliseconds } = await refuseWithoutStores(false);
     expect(refusal).toMatchObject({ status: 503, retryAfterSeconds: 1 });
-    expect(allowedMilliseconds).toBeLessThan(50);
+    expect(storeTimeoutMilliseconds).toBeLessThan(50);
   });
 
-  it('is tried for longer where they answered lately, and is to come back sooner', async () => {
-    const { refusal, allowedMilliseconds } = await refuseWithoutStores(true);
+  it('waits over 1 s if the quorum was reachable before, with a retry after 0.3 s', async () => {
+    const { refusal, storeTimeoutMilliseconds } = await refuseWithoutStores(true);
     expect(refusal).toMatchObject({ status: 503, retryAfterSeconds: 0.3 });
-    expect(allowedMilliseconds).toBeGreaterThan(1000);
+    expect(storeTimeoutMilliseconds).toBeGreaterThan(1000);
   });
 });
 
-/** Handles a turn while 20 requests are under way at 10 places; `taken` by its program before. */
+/** Handles a turn while 20 requests are in flight for 10 slots; `taken`: tokens that its program has used. */
 async function handleInOverload(taken: number, previousTurn?: string) {
   const clock = new ManualClock();
   const refusals: Refusal[] = [];
   const settled: number[] = [];
-  const forward = jest.fn(() => Promise.resolve({ kind: 'gone' }));
+  const forward = jest.fn(() => Promise.resolve({ kind: 'caller-disconnected' }));
   const head = { id: 't', program: 'p', budget: 100, mostTokens: 10, parts: [], promptTokens: 5 };
   const exchange = {
     head: { ...head, previousTurn },
     deadline: clock.monotonic() + 4000,
     response: { on: () => undefined },
     readBody: () => Promise.resolve(Buffer.from('x')),
-    decide: () => undefined,
+    recordDecision: () => undefined,
     log: () => undefined,
     refuse: (refusal: Refusal) => refusals.push(refusal),
   } as unknown as Exchange;
@@ -103,14 +106,14 @@
 }
 
 describe('a turn while the engines are overloaded', () => {
-  it('is refused as not run where it begins a program, and gives its reservation back', async () => {
+  it('is refused as not run if it begins a program, and releases its reservation', async () => {
     const { refusals, settled, sent } = await handleInOverload(0);
     expect(refusals).toMatchObject([{ status: 503, code: 'overloaded' }]);
     expect(settled).toEqual([0]);
     expect(sent).toBe(0);
   });
 
-  it('is sent where its program has generated something, or continues a turn', async () => {
+  it('is sent if its program has generated tokens, or if it continues a turn', async () => {
     expect(await handleInOverload(35)).toMatchObject({ refusals: [], sent: 1 });
     expect(await handleInOverload(0, 'earlier')).toMatchObject({ refusals: [], sent: 1 });
   });
--- a/src/gateway/turn-handler.ts
+++ b/src/gateway/turn-handler.ts
@@ -11,19 +11,19 @@
 import type { TurnClient } from '../turns';
 import type { Attempt } from './attempt';
 import { BODY_TOO_LARGE, placementOf } from './call-handler';
-import { EventOutput } from './event-output';
+import { EventDataCollector } from './event-output';
 import type { Exchange } from './exchange';
 import type { ForwardOutcome, Forwarder } from './forwarder';
-import type { QuotaGate, QuotaPass } from './quota-gate';
+import type { QuotaGate, QuotaAdmission } from './quota-gate';
 import type { Chain, PreparedTurn, Turn, TurnPreparer } from './turn-preparer';
 
-/** Shortest time for which a whole turn is tried to be kept; milliseconds. */
-const RECORD_MILLISECONDS = 2500;
+/** Time to record a completed turn, even if the deadline of its request is earlier. */
+const MINIMUM_RECORD_TIMEOUT_MILLISECONDS = 2500;
 
 export interface TurnHandlerOptions {
   readonly forwarder: Forwarder;
   readonly preparer: TurnPreparer;
-  readonly quotaGate: Pick<QuotaGate, 'ask'>;
+  readonly quotaGate: Pick<QuotaGate, 'requestAdmission'>;
   readonly turns: Pick<TurnClient, 'record'>;
   readonly chooser: Pick<TargetChooser, 'noteParts' | 'loadOf'>;
   readonly switches: DecisionSwitches;
@@ -32,7 +32,7 @@
   readonly metrics: Metrics;
 }
 
-/** Streams turns of engines, whose chains and budgets the system keeps. */
+/** Streams turns from engines, and enforces budgets and records turns. */
 export class TurnHandler {
   readonly #options: TurnHandlerOptions;
 
@@ -41,124 +41,142 @@
   }
 
   async handle(exchange: Exchange, route: Route, table: RouteTable): Promise<void> {
-    const pass = this.#options.quotaGate.ask(exchange, startsProgram(exchange, route));
+    const admission = this.#options.quotaGate.requestAdmission(
+      exchange,
+      startsProgram(exchange, route),
+    );
     const input = await exchange.readBody(table.configuration.limits.bodyBytes);
     const { id, program = id, previousTurn } = exchange.head;
     if (typeof input === 'string' || id === undefined || program === undefined) {
-      pass.giveBack();
-      if (input === 'gone') exchange.log('gone');
-      else exchange.refuse(input === 'too-large' ? BODY_TOO_LARGE : NO_ID);
+      admission.refund();
+      if (input === 'disconnected') exchange.log('gone');
+      else exchange.refuse(input === 'too-large' ? BODY_TOO_LARGE : MISSING_ID);
       return;
     }
-    const own = (callersId: string) => idWithinTeam(exchange.team, callersId);
-    const previous = previousTurn === undefined ? undefined : own(previousTurn);
-    await this.#handle(
-      { exchange, route, table, id: own(id), program: own(program), previous, input },
-      pass,
+    const scopeToTeam = (callerId: string) => idWithinTeam(exchange.team, callerId);
+    const previous = previousTurn === undefined ? undefined : scopeToTeam(previousTurn);
+    await this.#handleTurn(
+      {
+        exchange,
+        route,
+        table,
+        id: scopeToTeam(id),
+        program: scopeToTeam(program),
+        previous,
+        input,
+      },
+      admission,
     );
   }
 
-  async #handle(turn: Turn, pass: QuotaPass): Promise<void> {
+  async #handleTurn(turn: Turn, admission: QuotaAdmission): Promise<void> {
     const { exchange, route } = turn;
-    const beyondQuota = startsProgram(exchange, route) ? await pass.refusal() : undefined;
-    if (beyondQuota !== undefined) {
-      exchange.refuse(beyondQuota);
+    const earlyQuotaRefusal = startsProgram(exchange, route)
+      ? await admission.refusal()
+      : undefined;
+    if (earlyQuotaRefusal !== undefined) {
+      exchange.refuse(earlyQuotaRefusal);
       return;
     }
     const { preparer } = this.#options;
-    const [preparation, refusedByQuota] = await Promise.all([
+    const [preparation, quotaRefusal] = await Promise.all([
       preparer.prepare(turn),
-      pass.refusal(),
+      admission.refusal(),
     ]);
-    const refusal = refusedByQuota ?? this.#refuse(turn, preparation);
+    const refusal = quotaRefusal ?? this.#findRefusal(turn, preparation);
     if (refusal !== undefined) {
       preparer.settle(turn, 0);
-      pass.giveBack();
+      admission.refund();
       exchange.refuse(refusal);
-    } else if (preparation.kind === 'admitted') await this.#send(turn, preparation.chain, pass);
+    } else if (preparation.kind === 'admitted')
+      await this.#send(turn, preparation.chain, admission);
   }
 
-  #refuse(turn: Turn, preparation: PreparedTurn): Refusal | undefined {
+  #findRefusal(turn: Turn, preparation: PreparedTurn): Refusal | undefined {
     if (preparation.kind === 'refused') return preparation.refusal;
-    return this.#refuseInOverload(turn, preparation.startsProgram);
+    return this.#findOverloadRefusal(turn, preparation.startsProgram);
   }
 
-  #refuseInOverload({ exchange, route }: Turn, begins: boolean): Refusal | undefined {
+  #findOverloadRefusal({ exchange, route }: Turn, isFirstTurn: boolean): Refusal | undefined {
     const { chooser, switches, random } = this.#options;
-    if (!begins || !switches['overload-refusals']) return undefined;
+    if (!isFirstTurn || !switches['overload-refusals']) return undefined;
     const services = route.services.map(({ service }) => service);
     const { load, slots } = chooser.loadOf(services);
-    exchange.decide({ step: 'overload', load, slots });
+    exchange.recordDecision({ step: 'overload', load, slots });
     const service = services.join(', ');
-    return refuseInOverload({ service, load, slots, startsProgram: begins }, random);
+    return refuseInOverload({ service, load, slots, startsProgram: isFirstTurn }, random);
   }
 
-  async #send(turn: Turn, chain: Chain, pass: QuotaPass): Promise<void> {
+  async #send(turn: Turn, chain: Chain, admission: QuotaAdmission): Promise<void> {
     const { exchange, route, table } = turn;
     const { forwarder, switches } = this.#options;
-    const output = new EventOutput();
+    const output = new EventDataCollector();
     let attempt: Attempt | undefined;
-    let placed: Placement | undefined;
+    let lastPlacement: Placement | undefined;
     exchange.response.on('drain', () => attempt?.resume());
     const outcome = await forwarder.forward({
       exchange,
       route,
       table,
       body: buildBody(chain, turn.input),
-      placement: placementWith(exchange, chain),
+      placement: placementAfter(exchange, chain),
       priority: switches['engine-priorities'] ? enginePriority(route, exchange.team) : undefined,
       onAttempt: (started, placement) => {
         attempt = started;
-        placed = placement;
+        lastPlacement = placement;
       },
       receiver: {
         begin: (status, headers) => {
-          exchange.begin(status, headers);
+          exchange.beginResponse(status, headers);
         },
-        take: (chunk) => {
+        write: (chunk) => {
           output.push(chunk);
           return exchange.response.write(chunk);
         },
       },
     });
-    if (outcome.kind === 'refused' && outcome.isNotRun) pass.giveBack();
-    await this.#finish(turn, outcome, output, placed);
+    if (outcome.kind === 'refused' && outcome.isNotRun) admission.refund();
+    await this.#finish(turn, outcome, output, lastPlacement);
   }
 
   async #finish(
     turn: Turn,
     outcome: ForwardOutcome,
-    output: EventOutput,
-    placed: Placement | undefined,
+    output: EventDataCollector,
+    lastPlacement: Placement | undefined,
   ): Promise<void> {
     const { exchange } = turn;
     switch (outcome.kind) {
       case 'streamed':
-        await this.#complete(turn, output, placed);
+        await this.#complete(turn, output, lastPlacement);
         return;
       case 'answered':
         if (outcome.status < 500) this.#options.preparer.settle(turn, 0);
-        exchange.answer(outcome.status, outcome.headers, outcome.body);
+        exchange.respond(outcome.status, outcome.headers, outcome.body);
         return;
-      case 'gone':
+      case 'caller-disconnected':
         exchange.log('gone', { events: output.count });
         return;
       case 'refused':
         if (outcome.isNotRun) this.#options.preparer.settle(turn, 0);
-        if (outcome.began) exchange.breakOff(outcome.refusal.message);
+        if (outcome.began) exchange.abort(outcome.refusal.message);
         else exchange.refuse(outcome.refusal);
     }
   }
 
-  /** The answer is whole for the caller only once the turn lasts. */
-  async #complete(turn: Turn, output: EventOutput, placed: Placement | undefined): Promise<void> {
+  /** Ends the response only after the turn is recorded, so that the caller can continue it. */
+  async #complete(
+    turn: Turn,
+    output: EventDataCollector,
+    lastPlacement: Placement | undefined,
+  ): Promise<void> {
     const { exchange, route, table, id, program, previous, input } = turn;
     const { clock, turns, metrics, preparer, chooser } = this.#options;
-    const engine = engineOf(table, placed);
+    const engine = engineOf(table, lastPlacement);
     const tokens = output.count * (engine?.tokensPerEvent ?? 1);
-    if (placed !== undefined) {
+    if (lastPlacement !== undefined) {
       const memoryTokens = engine?.cacheTokens ?? Infinity;
-      chooser.noteParts(placed.state, exchange.head.parts, tokens, memoryTokens);
+      chooser.noteParts(lastPlacement.state, exchange.head.parts, tokens, memoryTokens);
     }
     if (route.retentionSeconds === undefined) {
       preparer.settle(turn, tokens);
@@ -176,45 +194,48 @@
             contextTokens: exchange.head.promptTokens + tokens,
             endedAt: clock.now(),
             retentionSeconds: route.retentionSeconds,
-            target: placed?.state.target.id ?? '',
+            target: lastPlacement?.state.target.id ?? '',
           },
-          Math.max(exchange.deadline, startedAt + RECORD_MILLISECONDS),
+          Math.max(exchange.deadline, startedAt + MINIMUM_RECORD_TIMEOUT_MILLISECONDS),
         );
       } catch (error) {
         if (!(error instanceof MartenbayError)) throw error;
-        exchange.breakOff(`the turn could not be kept: ${error.message}`);
+        exchange.abort(`the turn could not be kept: ${error.message}`);
         return;
       }
       metrics.observe('turn_kept', clock.monotonic() - startedAt);
     }
-    if (!exchange.hasLeft()) exchange.response.end();
-    exchange.log(exchange.hasLeft() ? 'gone' : 'answered', { status: 200, events: output.count });
+    if (!exchange.hasDisconnected()) exchange.response.end();
+    exchange.log(exchange.hasDisconnected() ? 'gone' : 'answered', {
+      status: 200,
+      events: output.count,
+    });
   }
 }
 
-const NO_ID = {
+const MISSING_ID = {
   status: 400,
   code: 'bad_request',
   message: 'the request carries no id; give each attempt one of its own',
 } as const;
 
 /**
- * Whether a turn is the first of its program, as far as its head tells: on routes that keep turns, every
- * other turn names the one before it.
+ * Whether a turn is the first of its program according to its headers. On routes that record turns, every
+ * later turn names the previous one; on other routes this is unknown, and false.
  */
 function startsProgram({ head }: Exchange, route: Route): boolean {
   const isKept = route.retentionSeconds !== undefined;
   return isKept && head.program !== undefined && head.previousTurn === undefined;
 }
 
-/** Inputs and outputs of the chain, oldest first, then the new input. */
+/** Concatenates the inputs and outputs of the chain, oldest first, and the new input. */
 function buildBody(chain: Chain, input: Buffer): Buffer {
   const parts = chain.flatMap((record) => [record.input, record.output]);
   return parts.length === 0 ? input : Buffer.concat([...parts, input]);
 }
 
-/** The engine of the last turn holds all that was said before. */
-function placementWith(exchange: Exchange, chain: Chain): PlacementRequest {
+/** The engine of the last turn has the whole conversation in its cache. */
+function placementAfter(exchange: Exchange, chain: Chain): PlacementRequest {
   const last = chain.at(-1);
   const placement = placementOf(exchange);
   if (last === undefined) return placement;
@@ -222,6 +243,11 @@
   return { ...placement, lastTarget: last.target, heldTokens };
 }
 
-function engineOf(table: RouteTable, placed: Placement | undefined): EngineSettings | undefined {
-  return placed === undefined ? undefined : table.service(placed.state.target.service)?.engine;
+function engineOf(
+  table: RouteTable,
+  lastPlacement: Placement | undefined,
+): EngineSettings | undefined {
+  return lastPlacement === undefined
+    ? undefined
+    : table.service(lastPlacement.state.target.service)?.engine;
 }
--- a/src/gateway/wire.ts
+++ b/src/gateway/wire.ts
@@ -1,59 +1,59 @@
 import type { PromptPart } from '../targets';
 
-/** What a caller's headers say. Times in milliseconds. */
+/** Values of a caller's request headers. Times in milliseconds. */
 export interface RequestHead {
-  /** The caller's id of this attempt; nothing if it sent none. */
+  /** Set by the caller, different for each attempt of its own. */
   readonly id: string | undefined;
-  /** How long the caller waits, from the time it sent the request. */
+  /** The caller's timeout, counted from the arrival of the request. */
   readonly waitMilliseconds: number | undefined;
-  /** The key by which it is known whose caller it is; nothing if it sent none, or more than one. */
+  /** API key; undefined if the caller sent none, or more than one. */
   readonly key: string | undefined;
   readonly program: string | undefined;
-  /** Time that remains until the whole program should be over. */
+  /** Time that remains until the deadline of the whole program. */
   readonly programMilliseconds: number | undefined;
-  /** Tokens that all turns of the program may generate together. */
+  /** Total tokens that all turns of the program may generate. */
   readonly budget: number | undefined;
-  /** The turn that this one continues. */
+  /** Id of the turn that this one continues. */
   readonly previousTurn: string | undefined;
   readonly promptTokens: number;
-  /** Tokens that this turn may generate at most. */
+  /** Upper bound of the tokens that this turn may generate. */
   readonly mostTokens: number;
   readonly parts: readonly PromptPart[];
 }
 
-/** What the headers of a target's answer say. */
+/** Values of a target's response headers. */
 export interface AnswerHead {
-  /** The id of the request that the answer belongs to. */
+  /** Id of the request that the response belongs to. */
   readonly requestId: string | undefined;
-  /** Whether the answer carries the proof that a target made it. */
+  /** Whether the response carries a target's signature, which a response of another server lacks. */
   readonly isSigned: boolean;
-  /** Whether the target says that it did not run the request. */
+  /** Whether the target reports that it did not run the request. */
   readonly isNotRun: boolean;
-  /** Whether the body is encoded, which no target was asked for. */
+  /** Whether the body has a content encoding, which requests never ask for. */
   readonly isEncoded: boolean;
 }
 
-/** What the system adds to a request for a target. */
+/** Values that the gateway adds to a request for a target. */
 export interface TargetHeaders {
-  /** Time that is left; milliseconds. */
+  /** Time until the deadline of the request. */
   readonly remainingMilliseconds: number;
-  /** Identity of the target that is meant. */
+  /** Id of the target that the request is meant for; another server refuses it. */
   readonly target: string;
-  /** 0 to 9, 0 first; left to the target's default if not given. */
+  /** 0 (highest) to 9; the target's default applies if undefined. */
   readonly priority: number | undefined;
-  /** Name of the caller's team, by which targets know who asks. */
+  /** Name of the caller's team. */
   readonly team: string | undefined;
-  /** Whether callers' keys are for the system alone, so that targets are not shown them. */
+  /** Whether the caller's key is removed from the request. */
   readonly hidesKey: boolean;
 }
 
 export type HeaderMap = Readonly<Record<string, string | readonly string[] | undefined>>;
 
-/** Names and forms of the headers that callers, targets and the system exchange. */
+/** Reads and writes the headers exchanged with callers and targets. */
 export interface Wire {
-  /** `rawHeaders`: name, value, name, value, with those that stand twice. */
+  /** `rawHeaders` alternates names and values and includes repeated headers. */
   readRequest(headers: HeaderMap, rawHeaders: readonly string[]): RequestHead;
   readAnswer(headers: HeaderMap): AnswerHead;
-  /** The caller's headers as name, value, name, value, without those the system sets itself. */
+  /** Returns alternating names and values: the caller's headers, except those that the gateway sets. */
   buildTargetHeaders(rawHeaders: readonly string[], added: TargetHeaders): string[];
 }
