--- a/src/gateway/quota-gate.ts
+++ b/src/gateway/quota-gate.ts
@@ -5,7 +5,7 @@
 import type { Exchange } from './exchange';
 
 export interface QuotaGateOptions {
-  readonly quotas: Pick<QuotaClient, 'admit' | 'giveBack'>;
+  readonly quotas: Pick<QuotaClient, 'admit' | 'refund'>;
   readonly random: RandomSource;
 }
 
@@ -35,7 +35,7 @@
       refusal: async () => this.#refuse(exchange, team, isStart, await outcome),
       refund: () => {
         void outcome.then(({ kind }) => {
-          if (kind === 'granted') quotas.giveBack(team);
+          if (kind === 'granted') quotas.refund(team);
         });
       },
     };
--- a/src/gateway/tests/turn-handler.test.ts
+++ b/src/gateway/tests/turn-handler.test.ts
@@ -14,7 +14,7 @@
 const WITHOUT_QUOTAS = new QuotaGate({
   quotas: {
     admit: () => Promise.reject(new Error('unexpected quota request for a caller without a team')),
-    giveBack: () => undefined,
+    refund: () => undefined,
   },
   random: new SeededRandom(1),
 });
--- a/src/quotas/bucket.ts
+++ b/src/quotas/bucket.ts
@@ -1,113 +1,110 @@
 import type { Quota } from '../teams';
 import type { QuotaDemand, QuotaGrant } from './contract';
 
-/**
- * Time for which lent requests may be spent without a word from the holder; milliseconds. It covers the
- * election of another holder (0.6 s, at times two of them).
- */
-export const LENT_MILLISECONDS = 2000;
+/** Validity of a lease without renewal; covers the election of another leader. */
+export const LEASE_MILLISECONDS = 2000;
 
-/** Share of a bucket that is kept for requests that wait; stocks are lent from the rest. */
-const STOCK_SHARE = 0.5;
+/** Share of a bucket that is reserved for pending requests; stocks are leased from the rest. */
+const RESERVED_SHARE = 0.5;
 
-/** Bounds of the time after which a refused program may come back; seconds. */
-const RETRY_SECONDS = { shortest: 0.1, longest: 3 } as const;
+const RETRY_AFTER_SECONDS = { shortest: 0.1, longest: 3 } as const;
 
-/** What one gateway may hold, as far as the holder knows. */
-interface Loan {
+/** Tokens that one gateway may hold, as known to the allocator. */
+interface Lease {
   readonly tokens: number;
+  /** The gateway's `QuotaDemand.spent` when the lease was granted. */
   readonly spent: number;
-  /** Monotonic time after which nothing of it can be spent any more; milliseconds. */
-  readonly endsAt: number;
+  /** Monotonic time after which no token of the lease can be spent; milliseconds. */
+  readonly expiresAt: number;
 }
 
 /**
- * One team's quota, as its holder keeps it: a token bucket whose lent tokens stay in it until they are
- * known to be spent or over, so that what all gateways let through in any time is at most the refill of
- * that time and one bucket. Answers gateways that are cut off with tokens, killed with them, or tell of
- * them late. No input or output; monotonic time is passed in.
+ * One team's quota at the allocator: a token bucket in which leased tokens occupy capacity until they are
+ * reported as spent or expire. All gateways together admit at most the refill of any period plus one
+ * bucket, even if gateways are partitioned, killed or report late. Performs no I/O; all times are
+ * monotonic milliseconds.
  */
 export class QuotaBucket {
   #quota: Quota;
   #level = 0;
   #refilledAt: number;
-  readonly #loans = new Map<string, Loan>();
-  /** Programs that were refused and could not have begun since. */
+  readonly #leases = new Map<string, Lease>();
+  /** Refused first turns for which no tokens have been refilled since. */
   #refusedStarts = 0;
-  /** What a former holder lent may be spent until then, unknown to this one. */
-  readonly #knowsAllAt: number;
+  /** Until then leases of the former leader, which this one does not know, may still be spent. */
+  readonly #formerLeasesExpireAt: number;
 
   /**
-   * Empty at `heldSince`, when this process began to hold the quotas: a former holder may have lent all
-   * there was a moment before.
+   * The bucket starts empty at `allocatorSince`, the start of this process's leadership, since the former
+   * leader may have leased all tokens just before.
    */
-  constructor(quota: Quota, heldSince: number) {
+  constructor(quota: Quota, allocatorSince: number) {
     this.#quota = quota;
-    this.#refilledAt = heldSince;
-    this.#knowsAllAt = heldSince + LENT_MILLISECONDS;
+    this.#refilledAt = allocatorSince;
+    this.#formerLeasesExpireAt = allocatorSince + LEASE_MILLISECONDS;
   }
 
   get quota(): Quota {
     return this.#quota;
   }
 
-  /** Tokens that may be lent at present. */
+  /** Tokens available for leases, as of the last call of `lease` or `resize`. */
   get level(): number {
     return this.#level;
   }
 
-  /** Tokens that gateways may hold. */
-  get lent(): number {
+  /** Tokens in leases that are neither reported as spent nor expired. */
+  get leased(): number {
     let sum = 0;
-    for (const { tokens } of this.#loans.values()) sum += tokens;
+    for (const { tokens } of this.#leases.values()) sum += tokens;
     return sum;
   }
 
-  /** Takes another quota over; what is lent already stays lent. */
+  /** Applies a changed quota; existing leases stay valid. */
   resize(quota: Quota, now: number): void {
     this.#refill(now);
     this.#quota = quota;
-    this.#level = Math.max(0, Math.min(this.#level, this.#capacity - this.lent));
+    this.#level = Math.max(0, Math.min(this.#level, this.#capacity - this.leased));
   }
 
-  /** Takes what a gateway tells, and lends it what there is. */
-  lend(run: string, demand: QuotaDemand, now: number): QuotaGrant {
+  /** Processes a gateway's demand and replaces its lease; `run` identifies the gateway's process. */
+  lease(run: string, demand: QuotaDemand, now: number): QuotaGrant {
     this.#refill(now);
-    this.#settle(run, demand);
-    const others = this.#take(demand.waitingOthers, this.#level);
-    const starts = this.#take(demand.waitingStarts, this.#level);
+    this.#reconcileLease(run, demand);
+    const others = this.#withdraw(demand.waitingOthers, this.#level);
+    const starts = this.#withdraw(demand.waitingStarts, this.#level);
     this.#refusedStarts += demand.waitingStarts - starts;
-    const spare = this.#level - this.#capacity * STOCK_SHARE;
-    const stock = this.#take(demand.stock - demand.held, spare);
+    const spare = this.#level - this.#capacity * RESERVED_SHARE;
+    const stock = this.#withdraw(demand.stock - demand.held, spare);
     const tokens = demand.held + others + starts + stock;
     const { spent } = demand;
-    this.#loans.set(run, { tokens, spent, endsAt: now + LENT_MILLISECONDS });
+    this.#leases.set(run, { tokens, spent, expiresAt: now + LEASE_MILLISECONDS });
     const retryAfterSeconds = this.#retryAfterSeconds();
     const left = Math.floor(this.#level);
     return { team: demand.team, starts, others, stock, left, retryAfterSeconds };
   }
 
-  /** Most tokens that the bucket holds; one that lets single requests through at least. */
+  /** At least 1, so that a quota with a smaller burst admits single requests. */
   get #capacity(): number {
     return Math.max(this.#quota.burst, 1);
   }
 
-  /** What a gateway was lent and neither spent nor holds has not reached it, or was given back. */
-  #settle(run: string, { spent, held }: QuotaDemand): void {
-    const loan = this.#loans.get(run);
-    if (loan === undefined) return;
-    this.#loans.delete(run);
-    const spentSince = Math.max(0, spent - loan.spent);
-    this.#level += Math.max(0, loan.tokens - spentSince - held);
+  /** Recovers tokens that a gateway neither spent nor holds: its grant was lost, or a request was refunded. */
+  #reconcileLease(run: string, { spent, held }: QuotaDemand): void {
+    const lease = this.#leases.get(run);
+    if (lease === undefined) return;
+    this.#leases.delete(run);
+    const spentSince = Math.max(0, spent - lease.spent);
+    this.#level += Math.max(0, lease.tokens - spentSince - held);
   }
 
-  /** Loans keep their place until they end, so what ends on the way is taken out at its time. */
+  /** Leases occupy capacity until they expire, so the refill is computed piecewise at each expiry. */
   #refill(now: number): void {
-    const ended = [...this.#loans].filter(([, { endsAt }]) => endsAt < now);
-    ended.sort(([, left], [, right]) => left.endsAt - right.endsAt);
-    for (const [run, { endsAt }] of ended) {
-      this.#refillUntil(endsAt);
-      this.#loans.delete(run);
+    const expired = [...this.#leases].filter(([, { expiresAt }]) => expiresAt < now);
+    expired.sort(([, left], [, right]) => left.expiresAt - right.expiresAt);
+    for (const [run, { expiresAt }] of expired) {
+      this.#refillUntil(expiresAt);
+      this.#leases.delete(run);
     }
     this.#refillUntil(now);
   }
@@ -115,24 +112,24 @@
   #refillUntil(now: number): void {
     const elapsed = Math.max(0, now - this.#refilledAt);
     this.#refilledAt = Math.max(now, this.#refilledAt);
-    const known = now < this.#knowsAllAt ? this.#capacity / 2 : this.#capacity;
-    const room = Math.max(0, known - this.lent - this.#level);
+    const limit = now < this.#formerLeasesExpireAt ? this.#capacity / 2 : this.#capacity;
+    const room = Math.max(0, limit - this.leased - this.#level);
     const refill = (elapsed * this.#quota.requestsPerSecond) / 1000;
     this.#level += Math.min(room, refill);
     this.#refusedStarts = Math.max(0, this.#refusedStarts - refill);
   }
 
-  #take(wanted: number, available: number): number {
+  #withdraw(wanted: number, available: number): number {
     const taken = Math.max(0, Math.min(Math.floor(wanted), Math.floor(available)));
     this.#level -= taken;
     return taken;
   }
 
-  /** Callers are to return one after the other, as there is room for those before them. */
+  /** Spreads the retries of refused callers over the refill time of those before them. */
   #retryAfterSeconds(): number {
-    const lacking = 1 - this.#level + this.#refusedStarts;
-    const seconds = lacking / Math.max(this.#quota.requestsPerSecond, Number.MIN_VALUE);
-    const { shortest, longest } = RETRY_SECONDS;
+    const missingTokens = 1 - this.#level + this.#refusedStarts;
+    const seconds = missingTokens / Math.max(this.#quota.requestsPerSecond, Number.MIN_VALUE);
+    const { shortest, longest } = RETRY_AFTER_SECONDS;
     return Math.min(Math.max(seconds, shortest), longest);
   }
 }
--- a/src/quotas/client.ts
+++ b/src/quotas/client.ts
@@ -3,163 +3,162 @@
 import type { QuotaDemand, QuotaGrants, QuotaReport } from './contract';
 import { QuotaShare, type ShareOutcome } from './share';
 
-/** Pause between two questions to the holder; a turn takes ten times as long. Milliseconds. */
-const PAUSE_MILLISECONDS = 20;
+/** Minimum time between two reports to the allocator. */
+const MINIMUM_INTERVAL_MILLISECONDS = 20;
 
-/** Pause between questions for requests that the holder had nothing for; milliseconds. */
-const EMPTY_PAUSE_MILLISECONDS = 50;
+/** Interval of reports while requests are pending. */
+const PENDING_INTERVAL_MILLISECONDS = 50;
 
-/** Pause after which the holder is told of what was let through, though nothing waits; milliseconds. */
-const TELL_MILLISECONDS = 100;
+/** Interval of reports of admitted requests while no request is pending. */
+const REPORT_INTERVAL_MILLISECONDS = 100;
 
-/** Pause after a question that nobody answered; milliseconds. */
-const RETRY_MILLISECONDS = 50;
+const FAILURE_RETRY_MILLISECONDS = 50;
 
-/** Longest wait of a request of a program under way; an election takes 0.6 s. Milliseconds. */
-const WAIT_MILLISECONDS = 1000;
+/** Maximum wait of a request for a lease; covers the election of a leader. */
+const ADMISSION_TIMEOUT_MILLISECONDS = 1000;
 
-/** Time after which a share that nobody uses is forgotten; milliseconds. */
-const FORGET_MILLISECONDS = 60_000;
+const UNUSED_SHARE_MILLISECONDS = 60_000;
 
 export interface QuotaClientOptions {
-  /** This run of the process. */
+  /** Id of this process, different after each restart. */
   readonly run: string;
-  /** Asks whoever leads the cluster's state; rejects where it is not reached. */
+  /** Sends a report to the current leader; rejects if it is not reached. */
   readonly ask: (report: QuotaReport) => Promise<QuotaGrants>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-interface KnownShare {
+interface ShareEntry {
   readonly share: QuotaShare;
   usedAt: number;
 }
 
 /**
- * Lets requests through within their teams' quotas, which the process that leads the cluster's state lends.
- * All teams share one question, and one question is under way at a time.
+ * Admits requests within their teams' quotas, of which the leader leases parts to each gateway. One report
+ * covers all teams, and only one report is in flight at a time.
  */
 export class QuotaClient implements Component {
   readonly #options: QuotaClientOptions;
-  readonly #shares = new Map<string, KnownShare>();
+  readonly #shares = new Map<string, ShareEntry>();
   #cancel: CancelTimer = () => undefined;
-  #dueAt = Infinity;
-  #asking = false;
-  /** Whether a request came while a question was under way that did not speak of it. */
-  #hasUnasked = false;
-  #stopped = false;
-  #earliestAt = -Infinity;
+  #nextPollAt = Infinity;
+  #isRequesting = false;
+  /** Whether a request arrived that the report in flight does not include. */
+  #hasUnreportedRequest = false;
+  #isStopped = false;
+  #earliestPollAt = -Infinity;
 
   constructor(options: QuotaClientOptions) {
     this.#options = options;
   }
 
   start(): void {
-    this.#schedule(TELL_MILLISECONDS);
+    this.#schedule(REPORT_INTERVAL_MILLISECONDS);
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     this.#cancel();
   }
 
   /**
-   * Lets a request of a team through, or says why not. First turns of programs wait for one answer of the
-   * holder, other requests for up to a second, at most until `deadline` (monotonic).
+   * Admits or refuses a request of a team. First turns of programs wait for one answer of the leader, other
+   * requests up to `ADMISSION_TIMEOUT_MILLISECONDS`; neither waits beyond `deadline` (monotonic milliseconds).
    */
   admit(team: Team, isStart: boolean, deadline: number): Promise<ShareOutcome> {
     if (team.quota === undefined) return Promise.resolve({ kind: 'granted' });
     const now = this.#options.clock.monotonic();
-    const known = this.#known(team.name, now);
-    known.usedAt = now;
-    if (!isStart && known.share.takeFromStock(now)) return Promise.resolve({ kind: 'granted' });
+    const entry = this.#entryOf(team.name, now);
+    entry.usedAt = now;
+    if (!isStart && entry.share.takeFromStock(now)) return Promise.resolve({ kind: 'granted' });
     return new Promise((resolve) => {
-      const endsAt = Math.min(now + WAIT_MILLISECONDS, deadline);
-      known.share.wait({ isStart, since: now, endsAt, resolve });
-      this.#hasUnasked = true;
+      const requestDeadline = Math.min(now + ADMISSION_TIMEOUT_MILLISECONDS, deadline);
+      entry.share.enqueue({ isStart, arrivedAt: now, deadline: requestDeadline, resolve });
+      this.#hasUnreportedRequest = true;
       this.#schedule(0);
     });
   }
 
-  /** Tells that a request that was let through has not run and will not. */
-  giveBack(team: Team): void {
-    this.#shares.get(team.name)?.share.giveBack(this.#options.clock.monotonic());
+  /** Returns the quota of an admitted request that has not run and will not run. */
+  refund(team: Team): void {
+    this.#shares.get(team.name)?.share.refund(this.#options.clock.monotonic());
   }
 
-  #known(team: string, now: number): KnownShare {
-    let known = this.#shares.get(team);
-    if (known === undefined) {
-      known = { share: new QuotaShare(team), usedAt: now };
-      this.#shares.set(team, known);
+  #entryOf(team: string, now: number): ShareEntry {
+    let entry = this.#shares.get(team);
+    if (entry === undefined) {
+      entry = { share: new QuotaShare(team), usedAt: now };
+      this.#shares.set(team, entry);
     }
-    return known;
+    return entry;
   }
 
-  /** Makes sure that the next look is at most `milliseconds` away, and not too soon after the last. */
+  /** Moves the next poll forward to `milliseconds` from now, but not before `#earliestPollAt`. */
   #schedule(milliseconds: number): void {
     const { clock } = this.#options;
     const now = clock.monotonic();
-    const at = Math.max(now + milliseconds, this.#earliestAt);
-    if (this.#stopped || this.#asking || at >= this.#dueAt) return;
+    const pollAt = Math.max(now + milliseconds, this.#earliestPollAt);
+    if (this.#isStopped || this.#isRequesting || pollAt >= this.#nextPollAt) return;
     this.#cancel();
-    this.#dueAt = at;
-    this.#cancel = clock.after(at - now, () => {
-      this.#dueAt = Infinity;
-      void this.#look();
+    this.#nextPollAt = pollAt;
+    this.#cancel = clock.after(pollAt - now, () => {
+      this.#nextPollAt = Infinity;
+      void this.#poll();
     });
   }
 
-  async #look(): Promise<void> {
+  async #poll(): Promise<void> {
     const { clock } = this.#options;
     const startedAt = clock.monotonic();
-    this.#forget(startedAt);
+    this.#removeUnusedShares(startedAt);
     const demands = this.#demandsAt(startedAt);
-    this.#hasUnasked = false;
-    if (demands.length > 0) await this.#ask(demands, startedAt);
-    let waiting = 0;
+    this.#hasUnreportedRequest = false;
+    if (demands.length > 0) await this.#requestGrants(demands, startedAt);
+    let pendingCount = 0;
     for (const { share } of this.#shares.values()) {
-      share.endWaits(clock.monotonic());
-      waiting += share.waiting;
+      share.refuseExpired(clock.monotonic());
+      pendingCount += share.pendingCount;
     }
-    this.#schedule(this.#pauseWith(waiting));
+    this.#schedule(this.#intervalWith(pendingCount));
   }
 
-  #pauseWith(waiting: number): number {
-    if (this.#hasUnasked) return 0;
-    return waiting > 0 ? EMPTY_PAUSE_MILLISECONDS : TELL_MILLISECONDS;
+  #intervalWith(pendingCount: number): number {
+    if (this.#hasUnreportedRequest) return 0;
+    return pendingCount > 0 ? PENDING_INTERVAL_MILLISECONDS : REPORT_INTERVAL_MILLISECONDS;
   }
 
   #demandsAt(now: number): readonly QuotaDemand[] {
     const demands: QuotaDemand[] = [];
     for (const { share } of this.#shares.values()) {
-      if (share.isNewsAt(now)) demands.push(share.demandAt(now));
+      if (share.hasUnreportedChangesAt(now)) demands.push(share.demandAt(now));
     }
     return demands;
   }
 
-  async #ask(demands: readonly QuotaDemand[], askedAt: number): Promise<void> {
+  async #requestGrants(demands: readonly QuotaDemand[], askedAt: number): Promise<void> {
     const { ask, run, clock, logger } = this.#options;
-    this.#asking = true;
+    this.#isRequesting = true;
     try {
       const { grants, validMilliseconds, term } = await ask({ run, demands });
-      const facts = { askedAt, validMilliseconds, term };
+      const context = { askedAt, validMilliseconds, term };
       demands.forEach((demand, index) => {
         const grant = grants[index];
         const share = this.#shares.get(demand.team)?.share;
-        if (grant !== undefined) share?.take(demand, grant, facts);
+        if (grant !== undefined) share?.applyGrant(demand, grant, context);
       });
-      this.#earliestAt = clock.monotonic() + PAUSE_MILLISECONDS;
+      this.#earliestPollAt = clock.monotonic() + MINIMUM_INTERVAL_MILLISECONDS;
     } catch (error) {
       logger.info({ event: 'quotas-not-lent', error: messageOf(error) });
-      this.#earliestAt = clock.monotonic() + RETRY_MILLISECONDS;
+      this.#earliestPollAt = clock.monotonic() + FAILURE_RETRY_MILLISECONDS;
     } finally {
-      this.#asking = false;
+      this.#isRequesting = false;
     }
   }
 
-  #forget(now: number): void {
+  #removeUnusedShares(now: number): void {
     for (const [team, { share, usedAt }] of this.#shares) {
-      if (now - usedAt > FORGET_MILLISECONDS && share.waiting === 0) this.#shares.delete(team);
+      if (now - usedAt > UNUSED_SHARE_MILLISECONDS && share.pendingCount === 0)
+        this.#shares.delete(team);
     }
   }
 }
--- a/src/quotas/contract.ts
+++ b/src/quotas/contract.ts
@@ -1,40 +1,43 @@
-/** What one gateway has of one team's quota, and what it asks for. */
+/** A gateway's usage of and demand for one team's quota. */
 export interface QuotaDemand {
   readonly team: string;
-  /** Requests that were let through since the gateway's process began; it never falls. */
+  /** Requests admitted by the gateway; does not decrease while a lease is valid. */
   readonly spent: number;
-  /** Requests that may still be let through without asking. */
+  /** Leased requests that are not used yet. */
   readonly held: number;
-  /** Requests that wait: first turns of programs, and all others. */
+  /** Pending first turns of programs. */
   readonly waitingStarts: number;
+  /** All other pending requests. */
   readonly waitingOthers: number;
-  /** Requests that the gateway would like to let through without asking, those held included. */
+  /** Leased requests that the gateway wants to hold in reserve, including those it holds. */
   readonly stock: number;
 }
 
-/** What a gateway tells the holder of the quotas. */
 export interface QuotaReport {
-  /** This run of the gateway's process. */
+  /** Id of the gateway's process, different after each restart. */
   readonly run: string;
   readonly demands: readonly QuotaDemand[];
 }
 
-/** What the holder lends a gateway of one team's quota. */
+/** Requests of one team's quota that are leased to a gateway. */
 export interface QuotaGrant {
   readonly team: string;
+  /** For pending first turns of programs. */
   readonly starts: number;
+  /** For other pending requests. */
   readonly others: number;
+  /** To hold in reserve. */
   readonly stock: number;
-  /** Requests that the holder could still have lent. */
+  /** Requests that remain available for leases. */
   readonly left: number;
-  /** Seconds after which what was not lent may be there. */
+  /** Estimated time until a request that got no lease can be granted. */
   readonly retryAfterSeconds: number;
 }
 
 export interface QuotaGrants {
-  /** Term of the holder's leadership. */
+  /** Term of the leader that granted the leases. */
   readonly term: number;
   readonly grants: readonly QuotaGrant[];
-  /** Time from the question for which what is held may be spent; milliseconds. */
+  /** Time for which leases may be used, counted from the sending of the report. */
   readonly validMilliseconds: number;
 }
--- a/src/quotas/holder.ts
+++ b/src/quotas/holder.ts
@@ -1,25 +1,24 @@
 import type { Clock, Logger } from '../core';
 import type { TeamDirectory } from '../teams';
-import { LENT_MILLISECONDS, QuotaBucket } from './bucket';
+import { LEASE_MILLISECONDS, QuotaBucket } from './bucket';
 import type { QuotaDemand, QuotaGrant, QuotaGrants, QuotaReport } from './contract';
 
 export interface QuotaHolderOptions {
-  /** The teams of the newest configuration; nothing where there are none. */
+  /** Teams of the newest configuration; undefined if it has none. */
   readonly teams: () => TeamDirectory | undefined;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** One leadership of this process. */
 export interface Leadership {
   readonly term: number;
-  /** Monotonic time of its beginning; milliseconds. */
+  /** Monotonic time of its start; milliseconds. */
   readonly since: number;
 }
 
 /**
- * Lends the quotas of all teams to the gateways, at the process that leads the cluster's state. Only one
- * process leads at a time, and the term of its leadership parts what it lent from what others did.
+ * Leases the quotas of all teams to the gateways; runs on the leader of the cluster state. The buckets are
+ * discarded when the term changes, since other leaders may have granted leases in between.
  */
 export class QuotaHolder {
   readonly #options: QuotaHolderOptions;
@@ -31,14 +30,13 @@
     this.#options = options;
   }
 
-  /** Lends what a gateway asks for, under the present leadership. */
   take({ run, demands }: QuotaReport, leadership: Leadership): QuotaGrants {
-    this.#begin(leadership);
-    const grants = demands.map((demand) => this.#lend(run, demand));
-    return { term: leadership.term, grants, validMilliseconds: LENT_MILLISECONDS };
+    this.#startTerm(leadership);
+    const grants = demands.map((demand) => this.#grant(run, demand));
+    return { term: leadership.term, grants, validMilliseconds: LEASE_MILLISECONDS };
   }
 
-  #begin({ term, since }: Leadership): void {
+  #startTerm({ term, since }: Leadership): void {
     if (term === this.#term) return;
     this.#term = term;
     this.#since = since;
@@ -46,7 +44,7 @@
     this.#options.logger.info({ event: 'quota-holder', term });
   }
 
-  #lend(run: string, demand: QuotaDemand): QuotaGrant {
+  #grant(run: string, demand: QuotaDemand): QuotaGrant {
     const { teams, clock } = this.#options;
     const now = clock.monotonic();
     const team = teams()?.named(demand.team);
@@ -62,17 +60,17 @@
     if (requestsPerSecond !== quota.requestsPerSecond || burst !== quota.burst) {
       bucket.resize(quota, now);
     }
-    return bucket.lend(run, demand, now);
+    return bucket.lease(run, demand, now);
   }
 }
 
-/** For a team that the newest configuration does not know: its keys are refused elsewhere. */
+/** For a team that is not in the newest configuration; its keys are refused by KeyGuard. */
 function grantNothing({ team }: QuotaDemand): QuotaGrant {
   return { team, starts: 0, others: 0, stock: 0, left: 0, retryAfterSeconds: 1 };
 }
 
 /** For a team without a quota in the newest configuration. */
 function grantAll({ team, waitingStarts, waitingOthers }: QuotaDemand): QuotaGrant {
-  const lent = { starts: waitingStarts, others: waitingOthers, stock: 0, left: Infinity };
-  return { team, ...lent, retryAfterSeconds: 0 };
+  const granted = { starts: waitingStarts, others: waitingOthers, stock: 0, left: Infinity };
+  return { team, ...granted, retryAfterSeconds: 0 };
 }
--- a/src/quotas/index.ts
+++ b/src/quotas/index.ts
@@ -1,5 +1,5 @@
-export { LENT_MILLISECONDS, QuotaBucket } from './bucket';
+export { LEASE_MILLISECONDS, QuotaBucket } from './bucket';
 export { QuotaClient, type QuotaClientOptions } from './client';
 export type { QuotaDemand, QuotaGrant, QuotaGrants, QuotaReport } from './contract';
 export { type Leadership, QuotaHolder, type QuotaHolderOptions } from './holder';
-export { QuotaShare, type ShareOutcome, type Waiter } from './share';
+export { QuotaShare, type ShareOutcome, type PendingRequest } from './share';
--- a/src/quotas/share.ts
+++ b/src/quotas/share.ts
@@ -1,173 +1,179 @@
 import type { QuotaDemand, QuotaGrant, QuotaGrants } from './contract';
 
-/** Time for whose usual requests a stock is kept; some exchanges with the holder. Milliseconds. */
-const STOCK_MILLISECONDS = 300;
+/** Period of average traffic that the stock covers; long enough for several reports. */
+const STOCK_PERIOD_MILLISECONDS = 300;
 
-/** Time in which earlier requests come to count half in what is usual; milliseconds. */
-const USUAL_HALF_MILLISECONDS = 1000;
+/** Half-life of requests in the average request rate. */
+const RATE_HALF_LIFE_MILLISECONDS = 1000;
 
-/** Usual requests a second below which no stock is kept; what lies in many places is missing in others. */
-const STOCK_RATE = 0.5;
+/** Below this average rate a gateway keeps no stock, since unused leases are missing at other gateways. */
+const MINIMUM_STOCK_REQUESTS_PER_SECOND = 0.5;
 
-/** How a request's wait for its part of the quota ended. */
 export type ShareOutcome =
   | { readonly kind: 'granted' }
   | {
       readonly kind: 'spent';
       readonly retryAfterSeconds: number;
-      /** What the holder had left, for requests of another kind or another gateway. */
+      /** Requests that remained available at the allocator. */
       readonly left: number;
-      /** Term of the holder's leadership. */
+      /** Term of the leader that answered. */
       readonly term: number;
     }
-  /** The holder was not reached in time. */
+  /** The allocator was not reached in time. */
   | { readonly kind: 'unknown' };
 
-/** A request that waits for its part of the quota. */
-export interface Waiter {
+/** A request that waits for a lease. */
+export interface PendingRequest {
   readonly isStart: boolean;
-  /** Monotonic time of its arrival; milliseconds. */
-  readonly since: number;
-  /** Monotonic time from which on it is refused; milliseconds. */
-  readonly endsAt: number;
+  /** Monotonic time; milliseconds. */
+  readonly arrivedAt: number;
+  /** Monotonic time at which the request is refused; milliseconds. */
+  readonly deadline: number;
   readonly resolve: (outcome: ShareOutcome) => void;
 }
 
-/** When a question was asked, and what holds for all parts of its answer. */
-export interface AnswerFacts extends Pick<QuotaGrants, 'term' | 'validMilliseconds'> {
-  /** Monotonic time of the question; milliseconds. */
+/** Values that all grants of an answer share. */
+export interface AnswerContext extends Pick<QuotaGrants, 'term' | 'validMilliseconds'> {
+  /** Monotonic time at which the report was sent; milliseconds. */
   readonly askedAt: number;
 }
 
 /**
- * What one gateway holds of one team's quota: requests that may be let through, those that wait, and what
- * is to be told to the holder. No input or output; monotonic time is passed in.
+ * One gateway's share of one team's quota: its leased and pending requests and the changes to report to the
+ * allocator. Performs no I/O; all times are monotonic milliseconds.
  */
 export class QuotaShare {
   readonly #team: string;
   #held = 0;
   #heldUntil = -Infinity;
   #spent = 0;
-  #waiters: Waiter[] = [];
-  /** Sum of requests, each counting less with its age; the usual rate follows from it. */
-  #recent = 0;
-  #recentAt = 0;
-  #answer = { retryAfterSeconds: 0, left: 0, term: 0 };
-  /** When the holder was asked that answered last; monotonic milliseconds. */
-  #answeredAt = -Infinity;
-  #told = { spent: 0, held: 0 };
+  #pending: PendingRequest[] = [];
+  /** Admitted requests, weighted by exponential decay; the average request rate follows from it. */
+  #decayedCount = 0;
+  #decayedAt = 0;
+  #lastAnswer = { retryAfterSeconds: 0, left: 0, term: 0 };
+  /** Time at which the report was sent that was answered last. */
+  #lastAnswerAskedAt = -Infinity;
+  #reported = { spent: 0, held: 0 };
 
   constructor(team: string) {
     this.#team = team;
   }
 
-  get waiting(): number {
-    return this.#waiters.length;
+  get pendingCount(): number {
+    return this.#pending.length;
   }
 
-  /** Requests that may be let through without asking. */
+  /** Leased requests that are not used yet; 0 after the lease has expired. */
   heldAt(now: number): number {
     return now <= this.#heldUntil ? this.#held : 0;
   }
 
-  /** Whether the holder should be told: requests wait, were let through, or the stock is over. */
-  isNewsAt(now: number): boolean {
+  /** Whether a report is due: requests are pending or were admitted, or the stock has changed. */
+  hasUnreportedChangesAt(now: number): boolean {
     return (
-      this.waiting > 0 || this.#told.spent !== this.#spent || this.#told.held !== this.heldAt(now)
+      this.pendingCount > 0 ||
+      this.#reported.spent !== this.#spent ||
+      this.#reported.held !== this.heldAt(now)
     );
   }
 
-  /** Lets a request through out of the stock, if there is any; first turns always ask. */
+  /**
+   * Admits a request from the stock; returns false if none is left or other requests are pending. Not for
+   * first turns, which always need a grant.
+   */
   takeFromStock(now: number): boolean {
-    if (this.heldAt(now) < 1 || this.waiting > 0) return false;
+    if (this.heldAt(now) < 1 || this.pendingCount > 0) return false;
     this.#held -= 1;
-    this.#letThrough(now);
+    this.#countAdmitted(now);
     return true;
   }
 
-  wait(waiter: Waiter): void {
-    this.#waiters.push(waiter);
+  enqueue(request: PendingRequest): void {
+    this.#pending.push(request);
   }
 
   /**
-   * Puts a request that was let through, but did not run, back into the stock. Once the holder was told of
-   * it, it is lost: the holder may have lent its place to another.
+   * Returns an admitted request that did not run to the stock. Has no effect once the request was reported,
+   * since the allocator may have leased its token to another gateway, or after the lease has expired.
    */
-  giveBack(now: number): void {
-    if (now > this.#heldUntil || this.#spent <= this.#told.spent) return;
+  refund(now: number): void {
+    if (now > this.#heldUntil || this.#spent <= this.#reported.spent) return;
     this.#spent -= 1;
     this.#held += 1;
   }
 
   demandAt(now: number): QuotaDemand {
     const held = this.heldAt(now);
-    const starts = this.#waiters.filter(({ isStart }) => isStart).length;
+    const starts = this.#pending.filter(({ isStart }) => isStart).length;
     return {
       team: this.#team,
       spent: this.#spent,
       held,
       waitingStarts: starts,
-      waitingOthers: this.waiting - starts,
-      stock: this.#stockAt(now),
+      waitingOthers: this.pendingCount - starts,
+      stock: this.#wantedStockAt(now),
     };
   }
 
   /**
-   * Takes what was lent in answer to `demand`. First turns that were asked for and not
-   * lent are refused at once, other requests wait on.
+   * Applies the answer to `demand`. First turns that were in `demand` and got no lease are refused at once;
+   * other requests stay pending.
    */
-  take(demand: QuotaDemand, grant: QuotaGrant, facts: AnswerFacts): void {
-    const { askedAt, validMilliseconds, term } = facts;
+  applyGrant(demand: QuotaDemand, grant: QuotaGrant, context: AnswerContext): void {
+    const { askedAt, validMilliseconds, term } = context;
     this.#held = this.heldAt(askedAt) + grant.stock;
     this.#heldUntil = askedAt + validMilliseconds;
-    this.#answeredAt = askedAt;
-    this.#told = { spent: demand.spent, held: demand.held + grant.stock };
+    this.#lastAnswerAskedAt = askedAt;
+    this.#reported = { spent: demand.spent, held: demand.held + grant.stock };
     const { retryAfterSeconds, left } = grant;
-    this.#answer = { retryAfterSeconds, left, term };
+    this.#lastAnswer = { retryAfterSeconds, left, term };
     let { starts, others } = grant;
     let refusedStarts = demand.waitingStarts - grant.starts;
-    this.#waiters = this.#waiters.filter((waiter) => {
-      if (waiter.isStart && starts > 0) starts -= 1;
-      else if (!waiter.isStart && others > 0) others -= 1;
-      else if (waiter.isStart && refusedStarts > 0) {
+    this.#pending = this.#pending.filter((request) => {
+      if (request.isStart && starts > 0) starts -= 1;
+      else if (!request.isStart && others > 0) others -= 1;
+      else if (request.isStart && refusedStarts > 0) {
         refusedStarts -= 1;
-        waiter.resolve(this.#refusalOf(waiter));
+        request.resolve(this.#refusalOutcome(request));
         return false;
       } else return true;
-      this.#letThrough(askedAt);
-      waiter.resolve({ kind: 'granted' });
+      this.#countAdmitted(askedAt);
+      request.resolve({ kind: 'granted' });
       return false;
     });
     this.#held += starts + others;
   }
 
-  /** Refuses the requests that have waited for long enough. */
-  endWaits(now: number): void {
-    this.#waiters = this.#waiters.filter((waiter) => {
-      const isOver = now >= waiter.endsAt;
-      if (isOver) waiter.resolve(this.#refusalOf(waiter));
-      return !isOver;
+  /** Refuses pending requests whose deadline has passed. */
+  refuseExpired(now: number): void {
+    this.#pending = this.#pending.filter((request) => {
+      const isExpired = now >= request.deadline;
+      if (isExpired) request.resolve(this.#refusalOutcome(request));
+      return !isExpired;
     });
   }
 
-  #refusalOf({ since }: Waiter): ShareOutcome {
-    if (this.#answeredAt < since) return { kind: 'unknown' };
-    return { kind: 'spent', ...this.#answer };
+  #refusalOutcome({ arrivedAt }: PendingRequest): ShareOutcome {
+    if (this.#lastAnswerAskedAt < arrivedAt) return { kind: 'unknown' };
+    return { kind: 'spent', ...this.#lastAnswer };
   }
 
-  #letThrough(now: number): void {
+  #countAdmitted(now: number): void {
     this.#spent += 1;
-    this.#recent = this.#recentAfter(now) + 1;
-    this.#recentAt = now;
+    this.#decayedCount = this.#decayedCountAt(now) + 1;
+    this.#decayedAt = now;
   }
 
-  #recentAfter(now: number): number {
-    return this.#recent * 0.5 ** (Math.max(0, now - this.#recentAt) / USUAL_HALF_MILLISECONDS);
+  #decayedCountAt(now: number): number {
+    return (
+      this.#decayedCount * 0.5 ** (Math.max(0, now - this.#decayedAt) / RATE_HALF_LIFE_MILLISECONDS)
+    );
   }
 
-  #stockAt(now: number): number {
-    const perMillisecond = (this.#recentAfter(now) * Math.LN2) / USUAL_HALF_MILLISECONDS;
-    if (perMillisecond * 1000 < STOCK_RATE) return 0;
-    return Math.ceil(perMillisecond * STOCK_MILLISECONDS);
+  #wantedStockAt(now: number): number {
+    const perMillisecond = (this.#decayedCountAt(now) * Math.LN2) / RATE_HALF_LIFE_MILLISECONDS;
+    if (perMillisecond * 1000 < MINIMUM_STOCK_REQUESTS_PER_SECOND) return 0;
+    return Math.ceil(perMillisecond * STOCK_PERIOD_MILLISECONDS);
   }
 }
--- a/src/quotas/tests/quota-cluster.ts
+++ b/src/quotas/tests/quota-cluster.ts
@@ -9,22 +9,21 @@
   type ShareOutcome,
 } from '..';
 
-/** Time between the end of one leadership and the beginning of the next; milliseconds. */
+/** Time between the end of one leadership and the start of the next. */
 const ELECTION_MILLISECONDS = 700;
 
-/** Time after which an unanswered question is given up; milliseconds. */
-const ASK_MILLISECONDS = 900;
+const REQUEST_TIMEOUT_MILLISECONDS = 900;
 
-/** Longest way of one message; milliseconds. */
-const WAY_MILLISECONDS = 5;
+/** Maximum one-way delay of a message. */
+const MESSAGE_DELAY_MILLISECONDS = 5;
 
 const STEP_MILLISECONDS = 1;
 
-/** The clock of a host that may stand still: what falls due meanwhile runs when it goes on. */
+/** Clock of a host that can be suspended; timers that expire meanwhile run on resumption. */
 class HostClock implements Clock {
   readonly #clock: ManualClock;
-  #due: (() => void)[] = [];
-  isFrozen = false;
+  #deferred: (() => void)[] = [];
+  isSuspended = false;
 
   constructor(clock: ManualClock) {
     this.#clock = clock;
@@ -51,45 +50,45 @@
     };
   }
 
-  /** Runs something that reaches the host, now or when it goes on. */
+  /** Runs `action` now, or on resumption if the host is suspended. */
   run(action: () => void): void {
-    if (this.isFrozen) this.#due.push(action);
+    if (this.isSuspended) this.#deferred.push(action);
     else action();
   }
 
-  thaw(): void {
-    this.isFrozen = false;
-    for (const action of this.#due.splice(0)) action();
+  resume(): void {
+    this.isSuspended = false;
+    for (const action of this.#deferred.splice(0)) action();
   }
 }
 
-interface Gateway {
+interface SimulatedGateway {
   readonly clock: HostClock;
   client: QuotaClient;
   run: number;
-  isCut: boolean;
+  isPartitioned: boolean;
 }
 
-/** A request as the cluster saw it. */
-export interface SeenRequest {
+/** A request and its outcome; times are monotonic milliseconds. */
+export interface RecordedRequest {
   readonly team: string;
   readonly isStart: boolean;
-  readonly askedAt: number;
+  readonly arrivedAt: number;
   endedAt: number;
   outcome: ShareOutcome['kind'] | 'open';
 }
 
-/** Gateways that ask for parts of quotas and the process that leads, in simulated time. */
+/** Simulates gateways and the leader that allocates quotas, in virtual time. */
 export class QuotaCluster {
   readonly clock = new ManualClock();
   readonly random: SeededRandom;
-  readonly requests: SeenRequest[] = [];
-  /** Questions that reached a leader. */
-  asked = 0;
-  readonly #gateways: Gateway[] = [];
+  readonly requests: RecordedRequest[] = [];
+  /** Reports that reached a leader. */
+  leaderRequestCount = 0;
+  readonly #gateways: SimulatedGateway[] = [];
   readonly #teams = new Map<string, Team>();
   #directory = new TeamDirectory([]);
-  #holder: QuotaHolder | undefined;
+  #allocator: QuotaHolder | undefined;
   #term = 0;
   #since = 0;
 
@@ -98,11 +97,14 @@
     for (const [name, quota] of Object.entries(quotas)) this.configure(name, quota);
     for (let index = 0; index < gateways; index += 1) {
       const clock = new HostClock(this.clock);
-      const gateway = { clock, run: 0, isCut: false } as Omit<Gateway, 'client'> as Gateway;
+      const gateway = { clock, run: 0, isPartitioned: false } as Omit<
+        SimulatedGateway,
+        'client'
+      > as SimulatedGateway;
       this.#gateways.push(gateway);
       this.restart(index);
     }
-    this.#lead();
+    this.#startTerm();
   }
 
   configure(name: string, quota: Quota): void {
@@ -114,13 +116,13 @@
     return this.#gateways.length;
   }
 
-  /** Begins a process anew: it knows nothing of what it held. */
+  /** Restarts a gateway's process, which loses its leases. */
   restart(index: number): void {
     const gateway = this.#gatewayAt(index);
     if (gateway.run > 0) gateway.client.stop();
     gateway.run += 1;
     const run = `${index}/${gateway.run}`;
-    const ask = (report: QuotaReport) => this.#ask(gateway, report);
+    const ask = (report: QuotaReport) => this.#requestGrants(gateway, report);
     gateway.client = new QuotaClient({
       run,
       ask,
@@ -130,28 +132,28 @@
     gateway.client.start();
   }
 
-  setCut(index: number, isCut: boolean): void {
-    this.#gatewayAt(index).isCut = isCut;
+  setPartitioned(index: number, isPartitioned: boolean): void {
+    this.#gatewayAt(index).isPartitioned = isPartitioned;
   }
 
-  freeze(index: number): void {
-    this.#gatewayAt(index).clock.isFrozen = true;
+  suspend(index: number): void {
+    this.#gatewayAt(index).clock.isSuspended = true;
   }
 
-  thaw(index: number): void {
-    this.#gatewayAt(index).clock.thaw();
+  resume(index: number): void {
+    this.#gatewayAt(index).clock.resume();
   }
 
-  /** Ends the present leadership; another process leads after an election. */
-  elect(): void {
-    this.#holder = undefined;
+  /** Ends the current leadership; a new term starts after `ELECTION_MILLISECONDS`. */
+  startElection(): void {
+    this.#allocator = undefined;
     const term = this.#term;
     this.clock.after(ELECTION_MILLISECONDS, () => {
-      if (this.#term === term) this.#lead();
+      if (this.#term === term) this.#startTerm();
     });
   }
 
-  /** Sends a request through a gateway; `onEnd` is told whether it was let through. */
+  /** Sends a request through a gateway; `onEnd` receives whether it was admitted. */
   request(
     index: number,
     team: string,
@@ -160,12 +162,12 @@
   ): void {
     const { clock, client } = this.#gatewayAt(index);
     clock.run(() => {
-      const askedAt = this.clock.monotonic();
-      const request: SeenRequest = { team, isStart, askedAt, endedAt: 0, outcome: 'open' };
+      const arrivedAt = this.clock.monotonic();
+      const request: RecordedRequest = { team, isStart, arrivedAt, endedAt: 0, outcome: 'open' };
       this.requests.push(request);
-      const known = this.#teams.get(team);
-      if (known === undefined) throw new Error(`no team ${team}`);
-      void client.admit(known, isStart, Infinity).then(({ kind }) => {
+      const configured = this.#teams.get(team);
+      if (configured === undefined) throw new Error(`team ${team} is not configured`);
+      void client.admit(configured, isStart, Infinity).then(({ kind }) => {
         request.outcome = kind;
         request.endedAt = this.clock.monotonic();
         onEnd(kind === 'granted');
@@ -173,7 +175,7 @@
     });
   }
 
-  /** Moves time on, calling `act` each millisecond. */
+  /** Advances time, calling `act` each millisecond. */
   async advance(milliseconds: number, act: () => void = () => undefined): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
       act();
@@ -183,8 +185,8 @@
     await new Promise((resolve) => setImmediate(resolve));
   }
 
-  /** Most requests of a team that were let through in any time of `milliseconds`. */
-  mostLetThrough(team: string, milliseconds: number): number {
+  /** Maximum number of admitted requests of a team in any window of `milliseconds`. */
+  mostAdmitted(team: string, milliseconds: number): number {
     const times = this.requests
       .filter((request) => request.team === team && request.outcome === 'granted')
       .map(({ endedAt }) => endedAt)
@@ -198,50 +200,50 @@
     return most;
   }
 
-  #lead(): void {
+  #startTerm(): void {
     this.#term += 1;
     this.#since = this.clock.monotonic();
-    this.#holder = new QuotaHolder({
+    this.#allocator = new QuotaHolder({
       teams: () => this.#directory,
       clock: this.clock,
       logger: createSilentLogger(),
     });
   }
 
-  #gatewayAt(index: number): Gateway {
+  #gatewayAt(index: number): SimulatedGateway {
     const gateway = this.#gateways[index];
-    if (gateway === undefined) throw new Error(`no gateway ${index}`);
+    if (gateway === undefined) throw new Error(`no gateway with index ${index}`);
     return gateway;
   }
 
-  /** Asks whoever leads, as long as a gateway does before it gives up; answers may be lost. */
-  async #ask(gateway: Gateway, report: QuotaReport): Promise<QuotaGrants> {
-    const endsAt = this.clock.monotonic() + ASK_MILLISECONDS;
-    while (this.clock.monotonic() < endsAt) {
-      await this.#way(gateway);
-      const grants = this.#take(gateway, report);
-      await this.#way(gateway);
+  /** Retries until a leader answers or the timeout passes; answers may be lost. */
+  async #requestGrants(gateway: SimulatedGateway, report: QuotaReport): Promise<QuotaGrants> {
+    const deadline = this.clock.monotonic() + REQUEST_TIMEOUT_MILLISECONDS;
+    while (this.clock.monotonic() < deadline) {
+      await this.#delayMessage(gateway);
+      const grants = this.#answerReport(gateway, report);
+      await this.#delayMessage(gateway);
       if (grants !== undefined && this.#isReached(gateway)) return grants;
       await this.#delay(gateway, 60);
     }
-    throw new Error('nobody leads');
+    throw new Error(`no leader answered within ${REQUEST_TIMEOUT_MILLISECONDS} ms`);
   }
 
-  #isReached({ isCut }: Gateway): boolean {
-    return !isCut;
+  #isReached({ isPartitioned }: SimulatedGateway): boolean {
+    return !isPartitioned;
   }
 
-  #take(gateway: Gateway, report: QuotaReport): QuotaGrants | undefined {
-    if (!this.#isReached(gateway) || this.#holder === undefined) return undefined;
-    this.asked += 1;
-    return this.#holder.take(report, { term: this.#term, since: this.#since });
+  #answerReport(gateway: SimulatedGateway, report: QuotaReport): QuotaGrants | undefined {
+    if (!this.#isReached(gateway) || this.#allocator === undefined) return undefined;
+    this.leaderRequestCount += 1;
+    return this.#allocator.take(report, { term: this.#term, since: this.#since });
   }
 
-  #way(gateway: Gateway): Promise<void> {
-    return this.#delay(gateway, 1 + this.random.fraction() * (WAY_MILLISECONDS - 1));
+  #delayMessage(gateway: SimulatedGateway): Promise<void> {
+    return this.#delay(gateway, 1 + this.random.fraction() * (MESSAGE_DELAY_MILLISECONDS - 1));
   }
 
-  #delay({ clock }: Gateway, milliseconds: number): Promise<void> {
+  #delay({ clock }: SimulatedGateway, milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       clock.after(milliseconds, resolve);
     });
