--- a/src/gateway/key-guard.ts
+++ b/src/gateway/key-guard.ts
@@ -23,7 +23,10 @@
 
 export interface KeyGuardOptions {
   readonly routes: () => RouteTable | undefined;
-  /** Version of the newest configuration that this process has received, including one it cannot parse. */
+  /**
+   * Version of the newest configuration that this process has received, including one it cannot
+   * parse.
+   */
   readonly newestVersion: () => number;
   readonly confirmation: Confirmation;
   /** Time within which a removed key must stop working; undefined for no limit. */
@@ -79,7 +82,10 @@
     return refusal;
   }
 
-  /** A key is definitely unknown only if the leader confirmed the configuration after the request arrived. */
+  /**
+   * A key is definitely unknown only if the leader confirmed the configuration after the request
+   * arrived.
+   */
   #refusalForUnknownKey({ arrivedAt }: Exchange): Refusal {
     const { confirmation } = this.#options;
     return confirmation.isConfirmedSince(arrivedAt) ? UNKNOWN_KEY : KEYS_UNCONFIRMED;
--- a/src/gateway/quota-gate.ts
+++ b/src/gateway/quota-gate.ts
@@ -11,7 +11,10 @@
 
 /** A pending admission, so that a request can be prepared while the quota is checked. */
 export interface QuotaAdmission {
-  /** Resolves once the quota was checked: with a refusal, or with undefined if the request may proceed. */
+  /**
+   * Resolves once the quota was checked: with a refusal, or with undefined if the request may
+   * proceed.
+   */
   refusal(): Promise<Refusal | undefined>;
   /** Returns the quota of a request that has not run and will not run. */
   refund(): void;
--- a/src/gateway/sender.ts
+++ b/src/gateway/sender.ts
@@ -26,7 +26,10 @@
   readonly onAttempt?: (attempt: Attempt, placement: Placement) => void;
 }
 
-/** Makes one attempt at one target and records its outcome in the target's health, the log and the metrics. */
+/**
+ * Makes one attempt at one target and records its outcome in the target's health, the log and the
+ * metrics.
+ */
 export class Sender {
   readonly #options: SenderOptions;
 
--- a/src/gateway/tests/turn-handler.test.ts
+++ b/src/gateway/tests/turn-handler.test.ts
@@ -69,7 +69,10 @@
   });
 });
 
-/** Handles a turn while 20 requests are in flight for 10 slots; `taken`: tokens that its program has used. */
+/**
+ * Handles a turn while 20 requests are in flight for 10 slots; `taken`: tokens that its program has
+ * used.
+ */
 async function handleInOverload(taken: number, previousTurn?: string) {
   const clock = new ManualClock();
   const refusals: Refusal[] = [];
--- a/src/quotas/bucket.ts
+++ b/src/quotas/bucket.ts
@@ -89,7 +89,10 @@
     return Math.max(this.#quota.burst, 1);
   }
 
-  /** Recovers tokens that a gateway neither spent nor holds: its grant was lost, or a request was refunded. */
+  /**
+   * Recovers tokens that a gateway neither spent nor holds: its grant was lost, or a request was
+   * refunded.
+   */
   #reconcileLease(run: string, { spent, held }: QuotaDemand): void {
     const lease = this.#leases.get(run);
     if (lease === undefined) return;
--- a/src/quotas/holder.ts
+++ b/src/quotas/holder.ts
@@ -47,7 +47,7 @@
   #grant(run: string, demand: QuotaDemand): QuotaGrant {
     const { teams, clock } = this.#options;
     const now = clock.monotonic();
-    const team = teams()?.named(demand.team);
+    const team = teams()?.findByName(demand.team);
     const quota = team?.quota;
     if (team === undefined) return grantNothing(demand);
     if (quota === undefined) return grantAll(demand);
--- a/src/quotas/share.ts
+++ b/src/quotas/share.ts
@@ -6,7 +6,10 @@
 /** Half-life of requests in the average request rate. */
 const RATE_HALF_LIFE_MILLISECONDS = 1000;
 
-/** Below this average rate a gateway keeps no stock, since unused leases are missing at other gateways. */
+/**
+ * Below this average rate a gateway keeps no stock, since unused leases are missing at other
+ * gateways.
+ */
 const MINIMUM_STOCK_REQUESTS_PER_SECOND = 0.5;
 
 export type ShareOutcome =
--- a/src/quotas/tests/bucket.test.ts
+++ b/src/quotas/tests/bucket.test.ts
@@ -87,10 +87,11 @@
     const clock = new ManualClock();
     const team = { name: 'red', keyDigests: [], priority: 0, quota: QUOTA };
     const teams = new TeamDirectory([team]);
-    const holder = new QuotaHolder({ teams: () => teams, clock, logger: createSilentLogger() });
+    const allocator = new QuotaHolder({ teams: () => teams, clock, logger: createSilentLogger() });
     clock.advance(FULL_MILLISECONDS);
     const report = { run: 'a', demands: [demand({ waitingOthers: 20 })] };
-    const grantsIn = (term: number, since: number) => holder.take(report, { term, since }).grants;
+    const grantsIn = (term: number, since: number) =>
+      allocator.take(report, { term, since }).grants;
     expect(grantsIn(1, 0)).toMatchObject([{ others: 20 }]);
     expect(grantsIn(3, FULL_MILLISECONDS)).toMatchObject([{ others: 0 }]);
   });
@@ -99,9 +100,9 @@
     const team = { name: 'red', keyDigests: [], priority: 0, quota: undefined };
     const teams = new TeamDirectory([team]);
     const clock = new ManualClock();
-    const holder = new QuotaHolder({ teams: () => teams, clock, logger: createSilentLogger() });
+    const allocator = new QuotaHolder({ teams: () => teams, clock, logger: createSilentLogger() });
     const removed = { ...demand({ waitingOthers: 3 }), team: 'removed' };
-    const { grants } = holder.take(
+    const { grants } = allocator.take(
       { run: 'a', demands: [demand({ waitingOthers: 3, waitingStarts: 1 }), removed] },
       { term: 1, since: 0 },
     );
--- a/src/teams/check.ts
+++ b/src/teams/check.ts
@@ -1,14 +1,13 @@
 import type { Issue } from '../core';
 
-/** A team as far as its keys must differ from those of others. */
 export interface KeyedTeam {
   readonly name: string;
   readonly keyDigests: readonly string[];
-  /** Where its keys stand in the operators' file. */
+  /** Path of its list of keys in the configuration file. */
   readonly path: readonly (string | number)[];
 }
 
-/** Finds keys that two teams share; the messages name teams, never keys. */
+/** Finds keys that belong to more than one team; the messages contain team names but no keys. */
 export function findSharedKeys(teams: readonly KeyedTeam[]): readonly Issue[] {
   const owners = new Map<string, string>();
   return teams.flatMap(({ name, keyDigests, path }) =>
--- a/src/teams/directory.ts
+++ b/src/teams/directory.ts
@@ -1,6 +1,6 @@
 import { type Team, digestKey } from './team';
 
-/** The teams of one configuration, found by a caller's key. */
+/** The teams of one configuration, by name and by key. */
 export class TeamDirectory {
   readonly #byDigest = new Map<string, Team>();
   readonly #byName = new Map<string, Team>();
@@ -12,16 +12,12 @@
     }
   }
 
-  get names(): Iterable<string> {
-    return this.#byName.keys();
-  }
-
-  named(name: string): Team | undefined {
+  findByName(name: string): Team | undefined {
     return this.#byName.get(name);
   }
 
-  /** The team that holds a key; digests are compared, so the time it takes tells nothing of keys. */
-  ofKey(key: string): Team | undefined {
+  /** Looks up the digest of a key, so that the duration reveals nothing about the keys of teams. */
+  findByKey(key: string): Team | undefined {
     return this.#byDigest.get(digestKey(key));
   }
 }
--- a/src/teams/team.ts
+++ b/src/teams/team.ts
@@ -1,33 +1,32 @@
 import { digestText } from '../core';
 
-/** Requests that a team may have run, over all gateways together. */
+/** Rate limit of a team, across all gateways. */
 export interface Quota {
   readonly requestsPerSecond: number;
-  /** Requests that may come at once on top of the rate. */
+  /** Requests that may exceed the rate at once. */
   readonly burst: number;
 }
 
-/** Callers who share keys, a priority and a quota. */
+/** Callers that share keys, a priority and a quota. */
 export interface Team {
   readonly name: string;
-  /** Digests of the callers' keys, as {@link digestKey} makes them. */
+  /** Digests of the callers' keys, computed by {@link digestKey}. */
   readonly keyDigests: readonly string[];
-  /** 0 goes first; it goes before the priority of a route. */
+  /** 0 is the highest; takes precedence over the priority of a route. */
   readonly priority: number;
-  /** Nothing where the team may send as much as it likes. */
+  /** Undefined for an unlimited team. */
   readonly quota: Quota | undefined;
 }
 
-/** What stands for a key wherever keys are compared: SHA-256, in hexadecimal. */
+/** SHA-256 in hexadecimal. */
 export function digestKey(key: string): string {
   return digestText(key);
 }
 
 /**
- * An id of a caller's, as it is known inside the system: ids of different teams are never the same.
- * Purpose: nobody reads or continues another team's turns, or spends its budgets, since no id that a
- * caller can send leads there. Ids come from headers, which hold no line feed, so the last line feed
- * parts team and id; without teams an id stands as it is.
+ * Prefixes a caller's id with its team, so that callers cannot read or continue turns of other teams or
+ * spend their budgets. The last line feed separates team and id, since ids come from headers, which contain
+ * none. Without a team the id is unchanged.
  */
 export function idWithinTeam(team: Pick<Team, 'name'> | undefined, id: string): string {
   return team === undefined ? id : `${team.name}\n${id}`;
--- a/src/teams/tests/teams.test.ts
+++ b/src/teams/tests/teams.test.ts
@@ -9,19 +9,19 @@
   const teams = new TeamDirectory([team('red', 'r1', 'r2'), team('blue', 'b1'), team('grey')]);
   const closed = { isPublic: false };
 
-  describe('known by a key', () => {
-    it('are the ones that hold it', () => {
+  describe('identified by a key', () => {
+    it('are found by each of their keys', () => {
       expect(identify(teams, { key: 'r2', ...closed })).toMatchObject({ team: { name: 'red' } });
       expect(identify(teams, { key: 'b1', ...closed })).toMatchObject({ team: { name: 'blue' } });
     });
 
-    it('are nobody where no key, or one that nobody holds, is given', () => {
+    it('are not found without a key or by an unknown key', () => {
       expect(identify(teams, { key: undefined, ...closed })).toEqual({ kind: 'no-key' });
       expect(identify(teams, { key: 'r3', ...closed })).toEqual({ kind: 'unknown-key' });
       expect(identify(teams, { key: digestKey('r1'), ...closed })).toEqual({ kind: 'unknown-key' });
     });
 
-    it('are known on routes that are open to all as well, where anyone else is served too', () => {
+    it('are found on public routes, which accept any other caller too', () => {
       const open = { isPublic: true };
       expect(identify(teams, { key: 'r1', ...open })).toMatchObject({ team: { name: 'red' } });
       expect(identify(teams, { key: 'r3', ...open })).toEqual({ kind: 'anyone' });
@@ -29,20 +29,20 @@
     });
   });
 
-  describe('that there are none of', () => {
-    it('leave everybody served, with a key and without', () => {
+  describe('missing from the configuration', () => {
+    it('leave every caller accepted, with and without a key', () => {
       expect(identify(undefined, { key: 'r1', ...closed })).toEqual({ kind: 'anyone' });
       expect(identify(undefined, { key: undefined, ...closed })).toEqual({ kind: 'anyone' });
     });
 
-    it('leave nobody served once an empty list stands in the configuration', () => {
+    it('leave no caller accepted if the configuration has an empty list', () => {
       const none = new TeamDirectory([]);
       expect(identify(none, { key: 'r1', ...closed })).toEqual({ kind: 'unknown-key' });
     });
   });
 
-  describe('with one key for two', () => {
-    it('are found, by name and place and without the key', () => {
+  describe('with a shared key', () => {
+    it('are reported by name and path, without the key', () => {
       const keyed = [team('red', 'r1', 'same'), team('blue', 'same')].map((one, index) => ({
         ...one,
         path: ['teams', index, 'keys'],
@@ -53,20 +53,20 @@
       expect(JSON.stringify(issues)).not.toContain('same');
     });
 
-    it('are not found where one team names its own key twice', () => {
+    it('are not reported if one team lists its own key twice', () => {
       expect(findSharedKeys([{ ...team('red', 'r1', 'r1'), path: [] }])).toEqual([]);
     });
   });
 
-  describe('that name things alike', () => {
-    /** What a header can hold: no line feed. */
+  describe('with equal ids', () => {
+    /** Header values contain no line feed. */
     const callersId = fc.string().map((text) => text.replaceAll('\n', ''));
 
-    it('never meet, whatever their names and the ids are', () => {
+    it('get the same scoped id only for the same team and id', () => {
       const anyTeam = fc.option(fc.string(), { nil: undefined });
-      const owned = fc.record({ name: anyTeam, id: callersId });
+      const teamAndId = fc.record({ name: anyTeam, id: callersId });
       fc.assert(
-        fc.property(owned, owned, (left, right) => {
+        fc.property(teamAndId, teamAndId, (left, right) => {
           const idOf = ({ name, id }: typeof left) =>
             idWithinTeam(name === undefined ? undefined : { name }, id);
           const isSame = left.name === right.name && left.id === right.id;
