--- a/src/quotas/share.ts
+++ b/src/quotas/share.ts
@@ -4,7 +4,7 @@
 const STOCK_PERIOD_MILLISECONDS = 300;
 
 /** Half-life of requests in the average request rate. */
-const RATE_HALF_LIFE_MILLISECONDS = 1000;
+const HALF_LIFE_MILLISECONDS = 1000;
 
 /**
  * Below this average rate a gateway keeps no stock, since unused leases are missing at other
@@ -52,7 +52,7 @@
   #spent = 0;
   #pending: PendingRequest[] = [];
   /** Admitted requests, weighted by exponential decay; the average request rate follows from it. */
-  #decayedCount = 0;
+  #decayedSum = 0;
   #decayedAt = 0;
   #lastAnswer = { retryAfterSeconds: 0, left: 0, term: 0 };
   /** Time at which the report was sent that was answered last. */
@@ -164,18 +164,16 @@
 
   #countAdmitted(now: number): void {
     this.#spent += 1;
-    this.#decayedCount = this.#decayedCountAt(now) + 1;
+    this.#decayedSum = this.#decayedSumAt(now) + 1;
     this.#decayedAt = now;
   }
 
-  #decayedCountAt(now: number): number {
-    return (
-      this.#decayedCount * 0.5 ** (Math.max(0, now - this.#decayedAt) / RATE_HALF_LIFE_MILLISECONDS)
-    );
+  #decayedSumAt(now: number): number {
+    return this.#decayedSum * 0.5 ** (Math.max(0, now - this.#decayedAt) / HALF_LIFE_MILLISECONDS);
   }
 
   #wantedStockAt(now: number): number {
-    const perMillisecond = (this.#decayedCountAt(now) * Math.LN2) / RATE_HALF_LIFE_MILLISECONDS;
+    const perMillisecond = (this.#decayedSumAt(now) * Math.LN2) / HALF_LIFE_MILLISECONDS;
     if (perMillisecond * 1000 < MINIMUM_STOCK_REQUESTS_PER_SECOND) return 0;
     return Math.ceil(perMillisecond * STOCK_PERIOD_MILLISECONDS);
   }
--- a/src/quotas/tests/quota-cluster.ts
+++ b/src/quotas/tests/quota-cluster.ts
@@ -226,7 +226,7 @@
       if (grants !== undefined && this.#isReached(gateway)) return grants;
       await this.#delay(gateway, 60);
     }
-    throw new Error(`no leader answered within ${REQUEST_TIMEOUT_MILLISECONDS} ms`);
+    throw new Error('no leader answered before the timeout');
   }
 
   #isReached({ isPartitioned }: SimulatedGateway): boolean {
