--- a/src/cluster/service.ts
+++ b/src/cluster/service.ts
@@ -1,5 +1,5 @@
 import { type Component, type Logger, PeriodicTask, type Clock } from '../core';
-import type { QuotaHolder } from '../quotas';
+import type { QuotaAllocator } from '../quotas';
 import type { CallHandlers, Caller, CastHandlers } from '../link';
 import type { LocalLeader } from './client';
 import type { ClusterContract, GreetingAnswer, Greeting, VersionedConfiguration } from './contract';
@@ -34,7 +34,7 @@
   readonly view: Newest<StoreView>;
   readonly keeper: KeeperParts | undefined;
   /** Lends the teams' quotas while this process leads; nothing where it never does. */
-  readonly quotas?: QuotaHolder | undefined;
+  readonly quotas?: QuotaAllocator | undefined;
 }
 
 /** Answers other processes about the cluster, and tells them of changes as the leader. */
@@ -76,7 +76,7 @@
       'cluster.retirement': (store) => viewKeeper.retirement(store),
       'cluster.quotas': (report) => {
         if (quotas === undefined) return { kind: 'not-now', reason: 'no quotas are lent here' };
-        return member.read(() => quotas.take(report, member.leadership));
+        return member.read(() => quotas.allocate(report, member.leadership));
       },
     };
   }
--- a/src/explain/causes.ts
+++ b/src/explain/causes.ts
@@ -1,4 +1,4 @@
-import { idWithinTeam } from '../teams';
+import { teamScopedId } from '../teams';
 import type { LogLine } from './log-line';
 import { orderByCause } from './order';
 
@@ -113,7 +113,7 @@
   const groups = new Map<string, LogLine[]>();
   for (const line of lines) {
     if (line.event !== 'request' || line.program === undefined) continue;
-    const program = idWithinTeam(
+    const program = teamScopedId(
       line.team === undefined ? undefined : { name: line.team },
       line.program,
     );
--- /dev/null
+++ b/src/gateway/request-hedger.ts
@@ -0,0 +1,101 @@
+import type { Clock } from '../core';
+import { SendBudget, UsualTimes } from '../decisions';
+import type { AttemptOutcome } from './attempt';
+
+/** Quantile of a route's latency after which a call is hedged. */
+const HEDGE_QUANTILE = 0.98;
+
+/** Bounds the additional load when many calls are late at once. */
+const HEDGES_PER_CALL = 0.05;
+
+const LOWEST_SERVER_ERROR_STATUS = 500;
+
+export interface HedgedResult {
+  readonly outcome: AttemptOutcome;
+  readonly attemptCount: 1 | 2;
+}
+
+export interface RequestHedgerOptions {
+  readonly clock: Clock;
+}
+
+export interface HedgedCall {
+  readonly route: string;
+  readonly first: Promise<AttemptOutcome>;
+  /** Starts an attempt at another target; undefined if there is none. */
+  readonly startSecondAttempt: () => Promise<AttemptOutcome> | undefined;
+}
+
+/**
+ * Hedges repeatable calls: sends a call to a second target once it takes longer than a high quantile of
+ * its route's latency (Dean and Barroso, "The Tail at Scale"). The slower attempt is not cancelled, since
+ * that would close its connection.
+ */
+export class RequestHedger {
+  readonly #clock: Clock;
+  readonly #latencyQuantiles = new UsualTimes(HEDGE_QUANTILE);
+  readonly #budget = new SendBudget(HEDGES_PER_CALL);
+
+  constructor({ clock }: RequestHedgerOptions) {
+    this.#clock = clock;
+  }
+
+  async run({ route, first, startSecondAttempt }: HedgedCall): Promise<HedgedResult> {
+    const startedAt = this.#clock.monotonic();
+    this.#budget.noteCall();
+    const hedgeDelay = this.#latencyQuantiles.of(route);
+    const isLate = hedgeDelay !== undefined && (await this.#isLaterThan(first, hedgeDelay));
+    const second = isLate && this.#budget.take() ? startSecondAttempt() : undefined;
+    const outcome = await (second === undefined ? first : firstSuccess(first, second));
+    if (outcome.kind === 'answered')
+      this.#latencyQuantiles.note(route, this.#clock.monotonic() - startedAt);
+    return { outcome, attemptCount: second === undefined ? 1 : 2 };
+  }
+
+  #isLaterThan(attempt: Promise<AttemptOutcome>, milliseconds: number): Promise<boolean> {
+    return new Promise((resolve, reject) => {
+      const cancel = this.#clock.after(milliseconds, () => {
+        resolve(true);
+      });
+      attempt.then(() => {
+        cancel();
+        resolve(false);
+      }, reject);
+    });
+  }
+}
+
+/** Resolves with the first successful outcome; if there is none, with the one of higher rank. */
+function firstSuccess(
+  first: Promise<AttemptOutcome>,
+  second: Promise<AttemptOutcome>,
+): Promise<AttemptOutcome> {
+  return new Promise((resolve, reject) => {
+    let earlier: AttemptOutcome | undefined;
+    const take = (outcome: AttemptOutcome) => {
+      if (isSuccess(outcome)) resolve(outcome);
+      else if (earlier === undefined) earlier = outcome;
+      else resolve(rankOf(outcome) > rankOf(earlier) ? outcome : earlier);
+    };
+    first.then(take, reject);
+    second.then(take, reject);
+  });
+}
+
+/** A call counts as not run only if neither attempt may have run. */
+const OUTCOME_RANKS: Readonly<Record<AttemptOutcome['kind'], number>> = {
+  'not-sent': 0,
+  'not-run': 1,
+  'given-up': 2,
+  unknown: 3,
+  streamed: 4,
+  answered: 4,
+};
+
+function rankOf({ kind }: AttemptOutcome): number {
+  return OUTCOME_RANKS[kind];
+}
+
+function isSuccess(outcome: AttemptOutcome): boolean {
+  return outcome.kind === 'answered' && outcome.status < LOWEST_SERVER_ERROR_STATUS;
+}
--- /dev/null
+++ b/src/gateway/tests/request-hedger.test.ts
@@ -0,0 +1,111 @@
+import { ManualClock } from '../../core/tests/manual-clock';
+import { SendBudget, UsualTimes } from '../../decisions';
+import type { AttemptOutcome } from '../attempt';
+import { RequestHedger } from '../request-hedger';
+
+const ROUTE = 'r';
+const ANSWERED: AttemptOutcome = {
+  kind: 'answered',
+  status: 200,
+  headers: [],
+  body: Buffer.from(''),
+};
+const NOT_RUN: AttemptOutcome = { kind: 'not-run', status: 503 };
+const LOST: AttemptOutcome = { kind: 'unknown', reason: 'reset', began: false };
+
+async function settle(): Promise<void> {
+  for (let round = 0; round < 8; round += 1) await Promise.resolve();
+}
+
+/** Starts a call without a response, after 64 calls of at most 20 ms on the same route. */
+async function startSlowCall() {
+  const clock = new ManualClock();
+  const hedger = new RequestHedger({ clock });
+  const startSecondAttempt = jest.fn((): Promise<AttemptOutcome> | undefined => undefined);
+  for (let count = 0; count < 64; count += 1) {
+    // More than 2% of the calls take 20 ms, so this is the 0.98 quantile.
+    const milliseconds = count % 30 === 0 ? 20 : 10;
+    const answered = hedger.run({
+      route: ROUTE,
+      first: new Promise((resolve) =>
+        clock.after(milliseconds, () => {
+          resolve(ANSWERED);
+        }),
+      ),
+      startSecondAttempt,
+    });
+    clock.advance(milliseconds);
+    await answered;
+  }
+  startSecondAttempt.mockClear();
+  let endFirst: (outcome: AttemptOutcome) => void = () => undefined;
+  const first = new Promise<AttemptOutcome>((resolve) => {
+    endFirst = resolve;
+  });
+  const result = hedger.run({ route: ROUTE, first, startSecondAttempt });
+  return { clock, startSecondAttempt, endFirst, result };
+}
+
+describe('a repeatable call', () => {
+  it('is sent to one target if it is answered before the hedge delay', async () => {
+    const { clock, startSecondAttempt, endFirst, result } = await startSlowCall();
+    clock.advance(19);
+    endFirst(ANSWERED);
+    expect(await result).toEqual({ outcome: ANSWERED, attemptCount: 1 });
+    expect(startSecondAttempt).not.toHaveBeenCalled();
+  });
+
+  it('is sent to a second target after the hedge delay, and the successful response is used', async () => {
+    const { clock, startSecondAttempt, result } = await startSlowCall();
+    startSecondAttempt.mockReturnValue(Promise.resolve(ANSWERED));
+    clock.advance(25);
+    expect(await result).toEqual({ outcome: ANSWERED, attemptCount: 2 });
+  });
+
+  it('uses the response of the first target if the second did not run the call', async () => {
+    const { clock, startSecondAttempt, endFirst, result } = await startSlowCall();
+    startSecondAttempt.mockReturnValue(Promise.resolve(NOT_RUN));
+    clock.advance(25);
+    await settle();
+    endFirst(ANSWERED);
+    expect(await result).toMatchObject({ outcome: ANSWERED });
+  });
+
+  it('does not count as not run if one of the two attempts may have run', async () => {
+    const { clock, startSecondAttempt, endFirst, result } = await startSlowCall();
+    startSecondAttempt.mockReturnValue(Promise.resolve(NOT_RUN));
+    clock.advance(25);
+    await settle();
+    endFirst(LOST);
+    expect(await result).toEqual({ outcome: LOST, attemptCount: 2 });
+  });
+});
+
+describe('the latency quantile of a route', () => {
+  it('is undefined until 32 calls were answered', () => {
+    const times = new UsualTimes(0.98);
+    for (let count = 0; count < 31; count += 1) times.note(ROUTE, 10);
+    expect(times.of(ROUTE)).toBeUndefined();
+  });
+
+  it('reflects the latest 128 responses', () => {
+    const times = new UsualTimes(0.98);
+    for (let count = 0; count < 128; count += 1) times.note(ROUTE, 10);
+    expect(times.of(ROUTE)).toBe(10);
+    for (let count = 0; count < 128; count += 1) times.note(ROUTE, 50);
+    expect(times.of(ROUTE)).toBe(50);
+  });
+});
+
+describe('the budget of hedged requests', () => {
+  it('limits 1000 late calls to the initial budget and 5% of the calls', () => {
+    const budget = new SendBudget(0.05);
+    let taken = 0;
+    for (let count = 0; count < 1000; count += 1) {
+      budget.noteCall();
+      if (budget.take()) taken += 1;
+    }
+    expect(taken).toBeGreaterThan(50);
+    expect(taken).toBeLessThanOrEqual(61);
+  });
+});
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -10,8 +10,15 @@
   parseAddress,
 } from '../core';
 import { createPlacers } from '../decisions';
-import { Forwarder, GatewayServer, Sender, TurnHandler, TurnPreparer, type Wire } from '../gateway';
-import { QuotaHolder } from '../quotas';
+import {
+  Forwarder,
+  GatewayServer,
+  Sender,
+  TurnHandler,
+  TurnPreparer,
+  type WireFormat,
+} from '../gateway';
+import { QuotaAllocator } from '../quotas';
 import { type RouteConfiguration, RouteTable } from '../routes';
 import {
   LoadExchange,
@@ -48,7 +55,7 @@
 
 /** What a platform brings: how it writes what the product understands. */
 export interface PlatformAdapter {
-  readonly wire: Wire;
+  readonly wire: WireFormat;
   parseConfiguration(text: string): ParsedConfiguration;
   createTargetSource(settings: NodeSettings, logger: Logger): TargetSource;
   /** Answers the operators' calls. */
@@ -89,7 +96,7 @@
   const confirmation = new Confirmation(clock);
   const leads = () => keeper?.member.serves === true;
   const greeter = parts.createGreeter(self, status, { confirmation, leads });
-  const quotaHolder = new QuotaHolder({ teams: () => table?.teams, clock, logger });
+  const quotaHolder = new QuotaAllocator({ teams: () => table?.teams, clock, logger });
   const serviceParts = { status, greeter, founding, keeper, quotas: quotaHolder };
   const service = parts.createService(self, serviceParts);
   const client = parts.createClient(self, greeter, service);
@@ -162,7 +169,7 @@
       return;
     }
     table = new RouteTable(parsed.configuration);
-    server.limit(parsed.configuration.limits);
+    server.applyLimits(parsed.configuration.limits);
   });
 
   const lifeCycle = new LifeCycle();
@@ -201,7 +208,7 @@
       const total = settings.node['stop-seconds'] * 1000 - CLOSING_MILLISECONDS;
       const stay = Math.min(LEAVING_MILLISECONDS, total / 2);
       await delay(clock, stay);
-      server.refuseNew();
+      server.refuseNewRequests();
       await idleWithin(server, clock, total - stay);
       await handedOver;
     },
@@ -212,7 +219,7 @@
 function idleWithin(server: GatewayServer, clock: Clock, milliseconds: number): Promise<void> {
   return new Promise((resolve) => {
     const cancel = clock.after(milliseconds, resolve);
-    void server.idle().then(() => {
+    void server.whenIdle().then(() => {
       cancel();
       resolve();
     });
--- a/src/nodes/node.ts
+++ b/src/nodes/node.ts
@@ -29,7 +29,7 @@
 } from '../cluster';
 import { LatencyHistograms } from '../core/latency';
 import { type CallHandlers, type CastHandlers, LinkListener, Peers } from '../link';
-import type { QuotaHolder } from '../quotas';
+import type { QuotaAllocator } from '../quotas';
 import { NodeFileSystem, QuarantiningStore, type RecordStore } from '../storage';
 import type { SystemContract } from './contract';
 import { HttpEndpoint, answerMetrics } from './http-endpoint';
@@ -163,7 +163,7 @@
       readonly greeter: Greeter;
       readonly founding: Founding;
       readonly keeper: KeeperParts | undefined;
-      readonly quotas?: QuotaHolder;
+      readonly quotas?: QuotaAllocator;
     },
   ): ClusterService {
     return new ClusterService({ ...this.#shared, self, ...parts });
--- a/src/teams/index.ts
+++ b/src/teams/index.ts
@@ -1,4 +1,4 @@
-export { type KeyedTeam, findSharedKeys } from './check';
+export { type KeyedTeam, findSharedKeys } from './shared-keys';
 export { TeamDirectory } from './directory';
 export { type Credentials, type Identity, identify } from './identity';
-export { type Quota, type Team, digestKey, idWithinTeam } from './team';
+export { type Quota, type Team, digestKey, teamScopedId } from './team';
