--- a/src/routing/affinity.ts
+++ b/src/routing/affinity.ts
@@ -4,31 +4,30 @@
   type RoutingPolicy,
   type RoutingRequest,
   type ScoredCandidate,
-  callsAt,
+  outstandingCalls,
   chooseLowest,
 } from './policy';
 
-/** What a call is expected to cost at a target; all in milliseconds. */
 export interface AffinityOptions {
-  /** Wait for each call that is at the target already. */
-  readonly queueMilliseconds?: number;
-  /** Prefill of one token that the target does not hold in its cache. */
-  readonly prefillMilliseconds?: number;
+  /** Expected queueing delay for each outstanding call at the target. */
+  readonly queueMillisecondsPerCall?: number;
+  /** Prefill time of one token that is not in the target's cache. */
+  readonly prefillMillisecondsPerToken?: number;
 }
 
 /**
- * Takes the target with the lowest expected time to the first token: network, queue, and the
- * prefill of what its cache does not hold. A program stays with the target of its last turn until
- * that one's queue costs more than computing the history again elsewhere.
+ * Selects the target with the lowest expected time to first token: network, queueing, and prefill
+ * of uncached tokens. A program stays with the target of its last turn until queueing there costs
+ * more than prefilling the history at another target.
  */
 export class AffinityPolicy implements RoutingPolicy {
   readonly name = 'affinity';
-  readonly #queueMilliseconds: number;
-  readonly #prefillMilliseconds: number;
+  readonly #queueMillisecondsPerCall: number;
+  readonly #prefillMillisecondsPerToken: number;
 
   constructor(options: AffinityOptions = {}) {
-    this.#queueMilliseconds = options.queueMilliseconds ?? 20;
-    this.#prefillMilliseconds = options.prefillMilliseconds ?? 0.05;
+    this.#queueMillisecondsPerCall = options.queueMillisecondsPerCall ?? 20;
+    this.#prefillMillisecondsPerToken = options.prefillMillisecondsPerToken ?? 0.05;
   }
 
   choose(request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice {
@@ -39,12 +38,12 @@
   }
 
   #score(request: RoutingRequest, candidate: Candidate): ScoredCandidate {
-    const held = candidate.target === request.lastTarget;
-    const tokens = request.newTokens + (held ? 0 : request.contextTokens);
+    const isCached = candidate.target === request.lastTarget;
+    const tokens = request.newTokens + (isCached ? 0 : request.contextTokens);
     const parts = {
       network: candidate.distanceMilliseconds * 2,
-      queue: callsAt(candidate) * this.#queueMilliseconds,
-      prefill: Math.round(tokens * this.#prefillMilliseconds * 1000) / 1000,
+      queue: outstandingCalls(candidate) * this.#queueMillisecondsPerCall,
+      prefill: Math.round(tokens * this.#prefillMillisecondsPerToken * 1000) / 1000,
     };
     const score = parts.network + parts.queue + parts.prefill;
     return { target: candidate.target, score, parts };
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -14,10 +14,9 @@
 } from './policy';
 export { RoundRobinPolicy } from './round-robin';
 
-export type PolicyName = 'round-robin' | 'least-load' | 'affinity';
+export type RoutingPolicyName = 'round-robin' | 'least-load' | 'affinity';
 
-/** Creates the policy that the settings name. */
-export function createPolicy(name: PolicyName): RoutingPolicy {
+export function createPolicy(name: RoutingPolicyName): RoutingPolicy {
   switch (name) {
     case 'round-robin':
       return new RoundRobinPolicy();
--- a/src/routing/least-load.ts
+++ b/src/routing/least-load.ts
@@ -3,17 +3,17 @@
   type RoutingChoice,
   type RoutingPolicy,
   type RoutingRequest,
-  callsAt,
+  outstandingCalls,
   chooseLowest,
 } from './policy';
 
-/** Takes the target with the fewest calls; a baseline. */
+/** Baseline that selects the target with the fewest outstanding calls. */
 export class LeastLoadPolicy implements RoutingPolicy {
   readonly name = 'least-load';
 
   choose(_request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice {
     const scored = candidates.map((candidate) => {
-      const calls = callsAt(candidate);
+      const calls = outstandingCalls(candidate);
       return { target: candidate.target, score: calls, parts: { calls } };
     });
     return chooseLowest(scored, () => 'fewest-calls');
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -1,28 +1,27 @@
 import type { Load } from '../protocol';
 
-/** A target that could take a call, as one entry sees it now. */
+/** A target for a call, as one entry process currently knows it. */
 export interface Candidate {
   readonly target: string;
   readonly load: Load;
-  /** Calls of this entry that the target has not answered yet. */
+  /** Outstanding calls from this entry process to the target. */
   readonly ownCalls: number;
-  /** One-way network time from this entry. */
+  /** One-way network latency from this entry process. */
   readonly distanceMilliseconds: number;
 }
 
-/** What the decision knows of the call. */
 export interface RoutingRequest {
   readonly program: string;
   readonly service: string;
-  /** Target of the program's last turn, which likely holds its history in cache. */
+  /** Target of the program's last turn, which likely caches the history. */
   readonly lastTarget: string | undefined;
-  /** Tokens of the history that the last target has worked on. */
+  /** Tokens of the history that `lastTarget` has processed. */
   readonly contextTokens: number;
-  /** Tokens that no target has seen, at most. */
+  /** Upper bound of the tokens that no target has processed. */
   readonly newTokens: number;
 }
 
-/** A candidate's score, lower being better, and what it is made of. */
+/** A lower score is better; `parts` are the components of the score. */
 export interface ScoredCandidate {
   readonly target: string;
   readonly score: number;
@@ -30,19 +29,22 @@
 }
 
 export interface RoutingChoice {
-  /** Absent when there is no candidate. */
+  /** Undefined if there is no candidate. */
   readonly target: string | undefined;
   readonly reason: string;
   readonly candidates: readonly ScoredCandidate[];
 }
 
-/** A rule that chooses a target for a call. */
+/** Algorithm that selects a target for a call. */
 export interface RoutingPolicy {
   readonly name: string;
   choose(request: RoutingRequest, candidates: readonly Candidate[]): RoutingChoice;
 }
 
-/** The candidate with the lowest score; equal scores go by name, so that a choice is repeatable. */
+/**
+ * Selects the candidate with the lowest score. Ties are broken by name, so the result is
+ * deterministic.
+ */
 export function chooseLowest(
   scored: readonly ScoredCandidate[],
   reasonFor: (best: ScoredCandidate) => string,
@@ -55,7 +57,7 @@
   return { target: best.target, reason: reasonFor(best), candidates };
 }
 
-/** Calls at a target: what it reported, or what this entry alone has sent if that is more. */
-export function callsAt(candidate: Candidate): number {
+/** Calls at a target: the larger of its reported load and this process's own outstanding calls. */
+export function outstandingCalls(candidate: Candidate): number {
   return Math.max(candidate.load.running + candidate.load.waiting, candidate.ownCalls);
 }
