--- a/src/decisions/admission.ts
+++ b/src/decisions/admission.ts
@@ -1,36 +1,33 @@
 import type { Refusal } from './refusal';
 
-/** Longest time spent on budget and chain before a turn is refused; milliseconds. */
-const PREPARE_MILLISECONDS = 1500;
+/** Timeout of the budget reservation and the chain lookup while a quorum is reachable. */
+const PREPARATION_TIMEOUT_MILLISECONDS = 1500;
 
 /**
- * The same while no quorum of the stores is reached. Stores that are back answer within 5 ms, and a
- * refusal should come within a quarter of the shortest aim, 200 ms; another gateway may do better.
+ * Timeout while no quorum is reachable. Long enough for stores that have recovered, short enough
+ * for the caller to retry at another gateway within its target latency.
  */
-const PREPARE_OUT_OF_REACH_MILLISECONDS = 45;
+const PREPARATION_TIMEOUT_WITHOUT_QUORUM_MILLISECONDS = 45;
 
-/** Pause that a refusal asks for where too few stores answered this time; seconds. */
-const STORES_RETRY_SECONDS = 0.3;
+/** `Retry-After` of a refusal when too few stores answered although a quorum is reachable. */
+const STORES_UNAVAILABLE_RETRY_SECONDS = 0.3;
 
-/**
- * The same while no quorum is reached: processes that all start again take about a second, and a
- * caller asks only a few times.
- */
-const OUT_OF_REACH_RETRY_SECONDS = 1;
+/** `Retry-After` of a refusal while no quorum is reachable; covers a restart of all stores. */
+const NO_QUORUM_RETRY_SECONDS = 1;
 
-/** What was learned of something that the stores keep. */
+/** Result of reading a value from the stores. */
 export type Learned<Value> =
   | { readonly kind: 'known'; readonly value: Value }
-  /** Too few stores answered. */
+  /** Fewer stores than a quorum answered. */
   | { readonly kind: 'unavailable'; readonly reason: string };
 
-/** What the admission of a turn rests on; `Chain` is what a turn continues. */
-export interface AdmissionSnapshot<Chain> {
-  /** Nothing where the turn that is continued does not exist. */
+/** `Chain` holds the earlier turns that the turn continues. */
+export interface AdmissionInput<Chain> {
+  /** The value is undefined if the turn to continue does not exist. */
   readonly chain: Learned<Chain | undefined>;
-  /** Whether the turn fits in what is left of its program's budget. */
+  /** Whether the turn fits in the remaining budget of its program. */
   readonly fitsBudget: Learned<boolean>;
-  /** Whether this process reaches a quorum of the stores at present. */
+  /** Whether this process currently reaches a quorum of the stores. */
   readonly reachesQuorum: boolean;
 }
 
@@ -38,44 +35,45 @@
   | { readonly kind: 'admitted'; readonly chain: Chain }
   | { readonly kind: 'refused'; readonly refusal: Refusal };
 
-/**
- * Longest time for which a turn waits for the stores; milliseconds. Answers stores that are down or cut
- * off: a turn that can't be prepared is refused before it has used up a quarter of its aim.
- */
+/** Maximum time that a turn waits for the stores before it is refused; milliseconds. */
 export function preparationTime(reachesQuorum: boolean): number {
-  return reachesQuorum ? PREPARE_MILLISECONDS : PREPARE_OUT_OF_REACH_MILLISECONDS;
+  return reachesQuorum
+    ? PREPARATION_TIMEOUT_MILLISECONDS
+    : PREPARATION_TIMEOUT_WITHOUT_QUORUM_MILLISECONDS;
 }
 
-/** Whether a turn may be sent. What is unknown of its chain goes before what is known of its budget. */
-export function admitTurn<Chain>(snapshot: AdmissionSnapshot<Chain>): Admission<Chain> {
-  const { chain, fitsBudget, reachesQuorum } = snapshot;
-  if (chain.kind === 'unavailable') return refuseWithoutStores(chain.reason, reachesQuorum);
-  if (chain.value === undefined) return { kind: 'refused', refusal: NO_SUCH_TURN };
+/**
+ * Decides whether a turn may be sent. A chain that is unavailable takes precedence over the budget.
+ */
+export function admitTurn<Chain>(input: AdmissionInput<Chain>): Admission<Chain> {
+  const { chain, fitsBudget, reachesQuorum } = input;
+  if (chain.kind === 'unavailable') return refuseStoresUnavailable(chain.reason, reachesQuorum);
+  if (chain.value === undefined) return { kind: 'refused', refusal: TURN_NOT_FOUND };
   if (fitsBudget.kind === 'unavailable') {
-    return refuseWithoutStores(fitsBudget.reason, reachesQuorum);
+    return refuseStoresUnavailable(fitsBudget.reason, reachesQuorum);
   }
-  if (!fitsBudget.value) return { kind: 'refused', refusal: BUDGET_SPENT };
+  if (!fitsBudget.value) return { kind: 'refused', refusal: BUDGET_EXHAUSTED };
   return { kind: 'admitted', chain: chain.value };
 }
 
-const NO_SUCH_TURN: Refusal = {
+const TURN_NOT_FOUND: Refusal = {
   status: 404,
   code: 'no_such_turn',
   message: 'the turn that is to be continued does not exist or is kept no longer',
 };
 
-const BUDGET_SPENT: Refusal = {
+const BUDGET_EXHAUSTED: Refusal = {
   status: 402,
   code: 'budget_spent',
   message: 'the turn does not fit in what is left of the budget; it was not run',
 };
 
-function refuseWithoutStores(reason: string, reachesQuorum: boolean): Admission<never> {
+function refuseStoresUnavailable(reason: string, reachesQuorum: boolean): Admission<never> {
   const refusal: Refusal = {
     status: 503,
     code: 'turns_unavailable',
     message: `${reason}; the turn was not run`,
-    retryAfterSeconds: reachesQuorum ? STORES_RETRY_SECONDS : OUT_OF_REACH_RETRY_SECONDS,
+    retryAfterSeconds: reachesQuorum ? STORES_UNAVAILABLE_RETRY_SECONDS : NO_QUORUM_RETRY_SECONDS,
   };
   return { kind: 'refused', refusal };
 }
--- a/src/decisions/baselines.ts
+++ b/src/decisions/baselines.ts
@@ -1,67 +1,72 @@
 import type { RandomSource } from '../core';
 import {
-  EnginePlacer,
+  EnginePlacementPolicy,
   type PlacementDecision,
-  type PlacementSnapshot,
+  type PlacementInput,
   type Placer,
-  SlotPlacer,
-  cheapest,
-  reachable,
+  SlotPlacementPolicy,
+  selectLowestCost,
+  excludePaused,
 } from './placement';
 import type { DecisionSwitches } from './switches';
 
-/** Target after target, whatever is known of them. */
-class RoundRobinPlacer implements Placer {
+/** Cycles through the targets and ignores their load, failures and caches. */
+class RoundRobinPlacementPolicy implements Placer {
   #next = 0;
 
-  place({ candidates }: PlacementSnapshot): PlacementDecision | undefined {
-    const considered = reachable(candidates);
+  place({ candidates }: PlacementInput): PlacementDecision | undefined {
+    const considered = excludePaused(candidates);
     const candidate = considered[this.#next % Math.max(1, considered.length)];
     this.#next += 1;
     if (candidate === undefined) return undefined;
-    return { candidate, cost: 0, weighed: considered.length };
+    return { candidate, cost: 0, consideredCount: considered.length };
   }
 }
 
-/** The target with the fewest requests under way. */
-class LeastLoadPlacer implements Placer {
-  place({ candidates }: PlacementSnapshot, random: RandomSource): PlacementDecision | undefined {
-    return cheapest(candidates, ({ load }) => load, random);
+/** Selects the target with the fewest requests in flight. */
+class LeastLoadPlacementPolicy implements Placer {
+  place({ candidates }: PlacementInput, random: RandomSource): PlacementDecision | undefined {
+    return selectLowestCost(candidates, ({ load }) => load, random);
   }
 }
 
-/** The target that holds most of the prompt, whatever its load; the least loaded of several. */
-class PrefixAffinityPlacer implements Placer {
-  place(snapshot: PlacementSnapshot, random: RandomSource): PlacementDecision | undefined {
-    const { candidates, lastTarget, lastHeldTokens } = snapshot;
-    const held = Math.max(
-      ...candidates.map(({ id, heldTokens }) =>
-        id === lastTarget ? Math.max(heldTokens, lastHeldTokens) : heldTokens,
+/** Selects the target that caches most of the prompt; the load only breaks ties. */
+class PrefixAffinityPlacementPolicy implements Placer {
+  place(input: PlacementInput, random: RandomSource): PlacementDecision | undefined {
+    const { candidates, lastTarget, lastTargetCachedTokens } = input;
+    const mostCachedTokens = Math.max(
+      ...candidates.map(({ id, cachedTokens }) =>
+        id === lastTarget ? Math.max(cachedTokens, lastTargetCachedTokens) : cachedTokens,
       ),
     );
-    const holding = candidates.filter(
-      ({ id, heldTokens }) => heldTokens === held || (id === lastTarget && lastHeldTokens === held),
+    const caching = candidates.filter(
+      ({ id, cachedTokens }) =>
+        cachedTokens === mostCachedTokens ||
+        (id === lastTarget && lastTargetCachedTokens === mostCachedTokens),
     );
-    return cheapest(holding, ({ load }) => load, random);
+    return selectLowestCost(caching, ({ load }) => load, random);
   }
 }
 
-/** Placers for the two kinds of services. */
+/** Policies for engine services and for plain services with a number of slots. */
 export interface Placers {
   readonly engine: Placer;
   readonly slot: Placer;
 }
 
-/** The placers of the policy that the settings name. */
+/** Creates the policies that the `placement-policy` setting names. */
 export function createPlacers(switches: DecisionSwitches): Placers {
   switch (switches['placement-policy']) {
     case 'soonest':
-      return { engine: new EnginePlacer(switches), slot: new SlotPlacer(switches) };
+      return {
+        engine: new EnginePlacementPolicy(switches),
+        slot: new SlotPlacementPolicy(switches),
+      };
     case 'round-robin':
-      return { engine: new RoundRobinPlacer(), slot: new RoundRobinPlacer() };
+      return { engine: new RoundRobinPlacementPolicy(), slot: new RoundRobinPlacementPolicy() };
     case 'least-load':
-      return { engine: new LeastLoadPlacer(), slot: new LeastLoadPlacer() };
+      return { engine: new LeastLoadPlacementPolicy(), slot: new LeastLoadPlacementPolicy() };
     case 'prefix-affinity':
-      return { engine: new PrefixAffinityPlacer(), slot: new LeastLoadPlacer() };
+      return { engine: new PrefixAffinityPlacementPolicy(), slot: new LeastLoadPlacementPolicy() };
   }
 }
--- a/src/decisions/index.ts
+++ b/src/decisions/index.ts
@@ -1,7 +1,7 @@
 export { type Admission, type Learned, admitTurn, preparationTime } from './admission';
 export { type Placers, createPlacers } from './baselines';
 export {
-  type KeySnapshot,
+  type KeyCheckInput,
   type KeyVerdict,
   KEYS_UNCONFIRMED,
   NO_KEY,
@@ -12,12 +12,12 @@
 export { enginePriority } from './order';
 export { type EngineLoad, refuseInOverload } from './overload';
 export {
-  EnginePlacer,
+  EnginePlacementPolicy,
   type PlacementCandidate,
   type PlacementDecision,
-  type PlacementSnapshot,
+  type PlacementInput,
   type Placer,
-  SlotPlacer,
+  SlotPlacementPolicy,
 } from './placement';
 export { refuseByQuota } from './quotas';
 export {
@@ -45,7 +45,7 @@
 } from './switches';
 export {
   type HealthEvent,
-  NEW_TARGET_HEALTH,
+  INITIAL_TARGET_HEALTH,
   type TargetHealth,
   failureShareAt,
   isPausedAt,
--- a/src/decisions/keys.ts
+++ b/src/decisions/keys.ts
@@ -2,45 +2,48 @@
 import type { Refusal } from './refusal';
 
 /**
- * Share of the time within which a removed key must be out of use for which a confirmation is gone by. The
- * rest covers the way to a target, timers that fire late and clocks that run at different speeds.
+ * Share of the removal deadline for which a confirmation by the leader is valid. The rest covers
+ * the latency to a target, late timers and differences in clock rate.
  */
-const CONFIRMED_SHARE = 0.85;
+const CONFIRMATION_VALIDITY_SHARE = 0.85;
 
-/** Pause that a refusal asks for where the leader is not reached: an election takes 0.6 s. Seconds. */
-const UNCONFIRMED_RETRY_SECONDS = 0.6;
+/** `Retry-After` of a refusal while the leader is unreachable; covers an election. */
+const KEYS_UNCONFIRMED_RETRY_SECONDS = 0.6;
 
-/** What the use of a key rests on. Times in milliseconds. */
-export interface KeySnapshot {
+export interface KeyCheckInput {
   readonly identity: Identity;
-  /** Since the leader was asked whose word counts that this process knows the newest configuration. */
+  /**
+   * Age of the leader's last confirmation that this process has the newest configuration, counted
+   * from the request for it; monotonic milliseconds.
+   */
   readonly confirmationAge: number;
-  /** Within which a removed key must be out of use everywhere; nothing where that is not asked for. */
+  /**
+   * Time within which a removed key must stop working on every host; undefined without a deadline.
+   */
   readonly removalMilliseconds: number | undefined;
 }
 
-/** What is known of a caller's right to be served. */
 export type KeyVerdict =
   | { readonly kind: 'serve' }
-  /** Nobody holds the key here, but that may have changed: the newest configuration decides. */
+  /** The local configuration does not contain the key; the newest configuration decides. */
   | { readonly kind: 'ask' }
   | { readonly kind: 'refuse'; readonly refusal: Refusal };
 
-/** Whether keys may be gone by so long after the leader's last word. Both in milliseconds. */
+/** Whether the last confirmation by the leader is recent enough to accept keys. Milliseconds. */
 export function mayUseKeys(confirmationAge: number, removalMilliseconds = Infinity): boolean {
-  return confirmationAge <= removalMilliseconds * CONFIRMED_SHARE;
+  return confirmationAge <= removalMilliseconds * CONFIRMATION_VALIDITY_SHARE;
 }
 
 /**
- * Whether a request may be served under its key. Answers gateways that are cut off, frozen or started
- * again while a key is removed: a key is used only for a bounded time after the leader has confirmed the
- * configuration that holds it, by this host's monotonic clock.
+ * Decides whether a request may be served with its key. A key is accepted only for a bounded time
+ * after the leader confirmed the configuration, so that a gateway that was partitioned, suspended
+ * or restarted stops accepting removed keys.
  */
 export function judgeKey({
   identity,
   confirmationAge,
   removalMilliseconds,
-}: KeySnapshot): KeyVerdict {
+}: KeyCheckInput): KeyVerdict {
   switch (identity.kind) {
     case 'anyone':
       return { kind: 'serve' };
@@ -70,5 +73,5 @@
   status: 503,
   code: 'keys_unconfirmed',
   message: 'this gateway has not reached the leader lately, so a removed key might be used here',
-  retryAfterSeconds: UNCONFIRMED_RETRY_SECONDS,
+  retryAfterSeconds: KEYS_UNCONFIRMED_RETRY_SECONDS,
 };
--- a/src/decisions/order.ts
+++ b/src/decisions/order.ts
@@ -1,20 +1,20 @@
-/** Priorities that engines know are 0 to 9, 0 first. */
-const ENGINE_PRIORITY = { first: 2, step: 3, last: 9 };
+/** Engines accept priorities 0 (highest) to 9 (lowest). */
+const ENGINE_PRIORITIES = { highest: 2, step: 3, lowest: 9 };
 
-/** Levels of a route's priority that are told apart within one priority of a team. */
-const ROUTE_LEVELS = 3;
+/** Number of route priorities that are distinguished within one team priority. */
+const ROUTE_PRIORITY_LEVELS = 3;
 
-interface Ranked {
+interface Prioritized {
   readonly priority: number;
 }
 
 /**
- * The priority with which engines order a request's turns, 0 first. Answers engines that are full: the
- * more urgent kind of program is admitted ahead of the other. A team's priority goes before its route's.
+ * Priority that is sent to an engine, 0 being the highest. Engines with a full queue admit higher
+ * priorities first. The priority of the team takes precedence over that of the route.
  */
-export function enginePriority(route: Ranked, team: Ranked | undefined): number {
-  const { first, step, last } = ENGINE_PRIORITY;
-  if (team === undefined) return Math.min(first + route.priority * step, last);
-  const level = Math.min(route.priority, ROUTE_LEVELS - 1);
-  return Math.min(team.priority * ROUTE_LEVELS + level, last);
+export function enginePriority(route: Prioritized, team: Prioritized | undefined): number {
+  const { highest, step, lowest } = ENGINE_PRIORITIES;
+  if (team === undefined) return Math.min(highest + route.priority * step, lowest);
+  const level = Math.min(route.priority, ROUTE_PRIORITY_LEVELS - 1);
+  return Math.min(team.priority * ROUTE_PRIORITY_LEVELS + level, lowest);
 }
--- a/src/decisions/overload.ts
+++ b/src/decisions/overload.ts
@@ -1,46 +1,38 @@
 import type { RandomSource } from '../core';
 import type { Refusal } from './refusal';
 
-/**
- * Requests for each place of the engines from which on no program is begun. In simulated time 1 and 1.25
- * bear a burst equally well; from 2 on turns wait so long that all programs are late together.
- */
-const REQUESTS_PER_PLACE = 1.25;
+/** Requests in flight per engine slot from which on no new program is started. */
+const OVERLOAD_REQUESTS_PER_SLOT = 1.25;
 
-/**
- * Bounds of the pause that a refused caller is asked for, drawn so that callers do not return together;
- * seconds. A turn frees its place after 0.2 to 0.3 s.
- */
-const PAUSE_SECONDS = { shortest: 0.1, longest: 0.3 } as const;
+/** Range of the random `Retry-After`, which spreads the retries of refused callers. */
+const RETRY_AFTER_SECONDS = { shortest: 0.1, longest: 0.3 } as const;
 
-/** What the engines that a turn may go to have under way. */
+/** Load of all engines that a turn may be sent to. */
 export interface EngineLoad {
-  /** Requests under way, of all gateways as far as known. */
+  /** Requests in flight, including those that other gateways reported. */
   readonly load: number;
-  /** Requests that the engines work on at once; 0 where none can be reached. */
+  /** Requests that the engines process concurrently; 0 if no engine is reachable. */
   readonly slots: number;
 }
 
-export interface OverloadSnapshot extends EngineLoad {
+export interface OverloadInput extends EngineLoad {
   readonly service: string;
   /** Whether the turn is the first of its program. */
   readonly startsProgram: boolean;
 }
 
 /**
- * Refuses to begin a program while the engines are overloaded; nothing if the turn may go on. Answers
- * demand beyond what the engines can do: programs under way are finished before new ones begin, since
- * with all begun at once engines lose the prompts that they hold, read them again and everybody is
- * late. Purpose, in simulated time: with twice the programs for three seconds 91% end in time in place
- * of 75%, with four times for two seconds 67% in place of 19%; those refused for good count as late.
+ * Refuses the first turn of a program while the engines are overloaded; undefined if the turn may
+ * proceed. Running programs take precedence, since too many concurrent programs evict each other's
+ * prompts from the engine caches.
  */
 export function refuseInOverload(
-  { service, load, slots, startsProgram }: OverloadSnapshot,
+  { service, load, slots, startsProgram }: OverloadInput,
   random: RandomSource,
 ): Refusal | undefined {
-  const isOverloaded = slots > 0 && load >= slots * REQUESTS_PER_PLACE;
+  const isOverloaded = slots > 0 && load >= slots * OVERLOAD_REQUESTS_PER_SLOT;
   if (!startsProgram || !isOverloaded) return undefined;
-  const { shortest, longest } = PAUSE_SECONDS;
+  const { shortest, longest } = RETRY_AFTER_SECONDS;
   return {
     status: 503,
     code: 'overloaded',
--- a/src/decisions/placement.ts
+++ b/src/decisions/placement.ts
@@ -1,136 +1,135 @@
 import type { RandomSource } from '../core';
 import type { DecisionSwitches } from './switches';
 
-/** What is known of one target when a request is placed. */
+/** State of one target at the time of a placement. */
 export interface PlacementCandidate {
   readonly id: string;
   readonly availabilityZone: string;
-  /** Requests that it works on at once. */
+  /** Requests that the target processes concurrently. */
   readonly slots: number;
-  /** Requests under way there, of all gateways as far as known. */
+  /** Requests in flight, including those that other gateways reported. */
   readonly load: number;
-  /** Share of the requests there that failed lately, 0 to 1. */
+  /** Decaying share of failed requests, 0 to 1. */
   readonly failureShare: number;
-  /** Whether it can't be reached at present. */
+  /** Whether the target is excluded: it could not be reached, or another server has its address. */
   readonly isPaused: boolean;
-  /** Tokens of the prompt that it holds, as this process knows from what it has sent. */
-  readonly heldTokens: number;
+  /** Prompt tokens in the target's cache, estimated from what this process has sent to it. */
+  readonly cachedTokens: number;
 }
 
-/** What the choice of a target rests on. */
-export interface PlacementSnapshot {
-  /** Zone of the process that chooses. */
+export interface PlacementInput {
+  /** Availability zone of this gateway. */
   readonly availabilityZone: string;
-  /** Tokens of the whole prompt. */
   readonly promptTokens: number;
-  /** Engine that holds the cache of what is continued. */
+  /** Target of the previous turn of the conversation. */
   readonly lastTarget: string | undefined;
-  /** Tokens of the prompt that the last target holds. */
-  readonly lastHeldTokens: number;
+  /** Prompt tokens in the cache of `lastTarget`. */
+  readonly lastTargetCachedTokens: number;
   readonly candidates: readonly PlacementCandidate[];
 }
 
-/** The choice, with what decided it. */
 export interface PlacementDecision {
   readonly candidate: PlacementCandidate;
-  /** Milliseconds for an engine, a share of its slots for a plain service. */
+  /** Milliseconds for an engine, a share of the slots for other targets. */
   readonly cost: number;
-  /** Targets that were weighed. */
-  readonly weighed: number;
+  /** Number of targets that were compared. */
+  readonly consideredCount: number;
 }
 
-/** Chooses a target for a request. */
+/** Algorithm that selects a target for a request. */
 export interface Placer {
-  /** Nothing if there is no candidate. */
-  place(snapshot: PlacementSnapshot, random: RandomSource): PlacementDecision | undefined;
+  /** Returns undefined if there is no candidate. */
+  place(input: PlacementInput, random: RandomSource): PlacementDecision | undefined;
 }
 
-/** Prompt tokens that an engine reads in a millisecond; the slowest of the users' engines. */
 const PREFILL_TOKENS_PER_MILLISECOND = 38;
 
-/** How much longer a turn takes for each other one at its engine: 35 tokens of 0.15 ms. */
-const COMPANY_MILLISECONDS = 6;
+/** Delay of a turn for each other request in flight at the engine. */
+const CONTENTION_MILLISECONDS_PER_REQUEST = 6;
 
-/** What a request over zones costs: the way there, and the price of its bytes. Milliseconds. */
-const ZONE_MILLISECONDS = 8;
+/** Cost of a request to another zone: latency and the price of its traffic. */
+const CROSS_ZONE_PENALTY_MILLISECONDS = 8;
 
-/** What it costs on the average to try a turn that fails again; milliseconds. */
-const FAILURE_MILLISECONDS = 500;
+/** Average cost of a failed turn that has to be retried. */
+const FAILURE_PENALTY_MILLISECONDS = 500;
 
 /**
- * Places a turn where it is done soonest: tokens to be read, company there, and the way. Answers bursts
- * of turns whose prompts are partly held: an engine that holds a prompt is left only where its company
- * costs more than reading the prompt again.
+ * Selects the engine with the lowest estimated completion time: prefill of uncached tokens,
+ * contention, expected failures and cross-zone latency. A conversation moves to another engine only
+ * if contention costs more than the prefill there.
  */
-export class EnginePlacer implements Placer {
+export class EnginePlacementPolicy implements Placer {
   readonly #switches: DecisionSwitches;
 
   constructor(switches: DecisionSwitches) {
     this.#switches = switches;
   }
 
-  place(snapshot: PlacementSnapshot, random: RandomSource): PlacementDecision | undefined {
-    return cheapest(snapshot.candidates, (candidate) => this.#cost(candidate, snapshot), random);
+  place(input: PlacementInput, random: RandomSource): PlacementDecision | undefined {
+    return selectLowestCost(input.candidates, (candidate) => this.#cost(candidate, input), random);
   }
 
-  #cost(candidate: PlacementCandidate, snapshot: PlacementSnapshot): number {
+  #cost(candidate: PlacementCandidate, input: PlacementInput): number {
     const switches = this.#switches;
-    const unread = Math.max(0, snapshot.promptTokens - this.#held(candidate, snapshot));
-    const isNear = !switches.zones || candidate.availabilityZone === snapshot.availabilityZone;
+    const uncachedTokens = Math.max(0, input.promptTokens - this.#cachedTokens(candidate, input));
+    const isSameZone = !switches.zones || candidate.availabilityZone === input.availabilityZone;
     const failures = switches['failure-shares'] ? candidate.failureShare : 0;
     return (
-      unread / PREFILL_TOKENS_PER_MILLISECOND +
-      candidate.load * COMPANY_MILLISECONDS +
-      failures * FAILURE_MILLISECONDS +
-      (isNear ? 0 : ZONE_MILLISECONDS)
+      uncachedTokens / PREFILL_TOKENS_PER_MILLISECOND +
+      candidate.load * CONTENTION_MILLISECONDS_PER_REQUEST +
+      failures * FAILURE_PENALTY_MILLISECONDS +
+      (isSameZone ? 0 : CROSS_ZONE_PENALTY_MILLISECONDS)
     );
   }
 
-  /** Tokens of the prompt that an engine most likely holds. */
-  #held({ id, heldTokens }: PlacementCandidate, snapshot: PlacementSnapshot): number {
-    const known = this.#switches['held-parts'] ? heldTokens : 0;
-    const isLast = this.#switches['last-target'] && id === snapshot.lastTarget;
-    return isLast ? Math.max(known, snapshot.lastHeldTokens) : known;
+  /** Estimated number of prompt tokens in the engine's cache. */
+  #cachedTokens({ id, cachedTokens }: PlacementCandidate, input: PlacementInput): number {
+    const trackedTokens = this.#switches['held-parts'] ? cachedTokens : 0;
+    const isLast = this.#switches['last-target'] && id === input.lastTarget;
+    return isLast ? Math.max(trackedTokens, input.lastTargetCachedTokens) : trackedTokens;
   }
 }
 
-/** Share of a target's slots by which one in another zone must be freer. */
-const ZONE_SHARE = 0.2;
+/** Cost of a target in another zone, as a share of its slots. */
+const CROSS_ZONE_SLOT_SHARE = 0.2;
 
-/** Share of its slots by which a target that fails every request must be freer than others. */
-const FAILURE_WEIGHT = 2;
+/** Cost of a target that fails every request, as a share of its slots. */
+const FAILURE_SLOT_SHARE = 2;
 
 /**
- * Places a call at the target with the largest share of free slots, preferably nearby. Answers calls
- * that come faster than one target works them off, and targets that fail a part of them.
+ * Selects the target with the largest share of free slots, with penalties for failures and for
+ * targets in another zone.
  */
-export class SlotPlacer implements Placer {
+export class SlotPlacementPolicy implements Placer {
   readonly #switches: DecisionSwitches;
 
   constructor(switches: DecisionSwitches) {
     this.#switches = switches;
   }
 
-  place(snapshot: PlacementSnapshot, random: RandomSource): PlacementDecision | undefined {
-    return cheapest(snapshot.candidates, (candidate) => this.#cost(candidate, snapshot), random);
+  place(input: PlacementInput, random: RandomSource): PlacementDecision | undefined {
+    return selectLowestCost(input.candidates, (candidate) => this.#cost(candidate, input), random);
   }
 
-  #cost(candidate: PlacementCandidate, { availabilityZone }: PlacementSnapshot): number {
+  #cost(candidate: PlacementCandidate, { availabilityZone }: PlacementInput): number {
     const switches = this.#switches;
-    const isNear = !switches.zones || candidate.availabilityZone === availabilityZone;
+    const isSameZone = !switches.zones || candidate.availabilityZone === availabilityZone;
     const failures = switches['failure-shares'] ? candidate.failureShare : 0;
     const load = candidate.load / Math.max(1, candidate.slots);
-    return load + failures * FAILURE_WEIGHT + (isNear ? 0 : ZONE_SHARE);
+    return load + failures * FAILURE_SLOT_SHARE + (isSameZone ? 0 : CROSS_ZONE_SLOT_SHARE);
   }
 }
 
-/** The cheapest of the targets that can be reached, or of all if none can; chance breaks ties. */
-export function cheapest(
+/**
+ * Selects the candidate with the lowest cost among those that are not paused, or among all if all
+ * are paused. Ties are broken at random.
+ */
+export function selectLowestCost(
   candidates: readonly PlacementCandidate[],
   costOf: (candidate: PlacementCandidate) => number,
   random: RandomSource,
 ): PlacementDecision | undefined {
-  const considered = reachable(candidates);
+  const considered = excludePaused(candidates);
   let best: PlacementCandidate | undefined;
   let bestCost = Infinity;
   let ties = 0;
@@ -143,14 +142,14 @@
     bestCost = cost;
   }
   if (best === undefined) return undefined;
-  return { candidate: best, cost: bestCost, weighed: considered.length };
+  return { candidate: best, cost: bestCost, consideredCount: considered.length };
 }
 
-/** The targets that can be reached, or all if none can. */
-export function reachable(
+/** Returns the candidates that are not paused, or all of them if all are paused. */
+export function excludePaused(
   candidates: readonly PlacementCandidate[],
 ): readonly PlacementCandidate[] {
   if (!candidates.some(({ isPaused }) => isPaused)) return candidates;
-  const sound = candidates.filter(({ isPaused }) => !isPaused);
-  return sound.length > 0 ? sound : candidates;
+  const unpaused = candidates.filter(({ isPaused }) => !isPaused);
+  return unpaused.length > 0 ? unpaused : candidates;
 }
--- a/src/decisions/quotas.ts
+++ b/src/decisions/quotas.ts
@@ -2,16 +2,14 @@
 import type { ShareOutcome } from '../quotas';
 import type { Refusal } from './refusal';
 
-/** Pause that a refusal asks for where nobody could be asked: an election takes 0.6 s. Seconds. */
-const UNKNOWN_RETRY_SECONDS = 0.3;
+/** Base of `Retry-After` while the process that tracks the quota is unreachable. */
+const QUOTA_UNKNOWN_RETRY_SECONDS = 0.3;
 
-/** Part of the pause that is drawn, so that callers who were refused together do not return together. */
-const DRAWN_SHARE = 0.5;
+/** Maximum jitter, as a share of `Retry-After`, that spreads the retries of refused callers. */
+const RETRY_JITTER_SHARE = 0.5;
 
 /**
- * The refusal of a request that lies beyond its team's quota, or of which that can't be told; nothing if it
- * may go on. Answers a team that sends more than its quota: the caller is told when the quota has room, by
- * what is refilled and, for a program that would begin, by what the programs under way will still ask for.
+ * Refuses a request over its team's quota or whose quota is unknown; undefined if it may proceed.
  */
 export function refuseByQuota(
   team: string,
@@ -26,14 +24,15 @@
         status: 429,
         code: 'quota_spent',
         message: `the quota of team "${team}" is used up at present; the request was not run`,
-        retryAfterSeconds: outcome.retryAfterSeconds * (1 + DRAWN_SHARE * random.fraction()),
+        retryAfterSeconds: outcome.retryAfterSeconds * (1 + RETRY_JITTER_SHARE * random.fraction()),
       };
     case 'unknown':
       return {
         status: 503,
         code: 'quota_unknown',
         message: 'what is left of the quota could not be asked for; the request was not run',
-        retryAfterSeconds: UNKNOWN_RETRY_SECONDS * (1 + DRAWN_SHARE * random.fraction()),
+        retryAfterSeconds:
+          QUOTA_UNKNOWN_RETRY_SECONDS * (1 + RETRY_JITTER_SHARE * random.fraction()),
       };
   }
 }
--- a/src/decisions/refusal.ts
+++ b/src/decisions/refusal.ts
@@ -1,4 +1,4 @@
-/** Why the gateway answers a request itself. */
+/** Codes of the responses that a gateway generates instead of forwarding the request. */
 export type RefusalCode =
   | 'stopping'
   | 'no_configuration'
@@ -19,43 +19,41 @@
   | 'outcome_unknown'
   | 'time_over';
 
-/** An answer of the gateway's own. */
+/** Response that a gateway generates itself. */
 export interface Refusal {
   readonly status: number;
   readonly code: RefusalCode;
   readonly message: string;
-  /** Seconds after which the caller may try again; only where the request was not run. */
+  /** Sent as `Retry-After`; present only if the request was not run. */
   readonly retryAfterSeconds?: number;
 }
 
-/** What a service's targets have under way when none of them took a request. */
+/** Requests in flight at a target and the number that it processes concurrently. */
 export interface TargetLoad {
   readonly load: number;
   readonly slots: number;
 }
 
-/** Shortest and longest pause that a refusal asks for; seconds. */
 const RETRY_AFTER_SECONDS = { shortest: 0.1, longest: 1 };
 
 /**
- * The refusal of a request that no target took. Answers a service that is full: the caller is told
- * the time in which its least loaded target has most likely worked off what waits there.
- * `usualMilliseconds`: how long the service's requests usually take.
+ * Refusal of a request that no target accepted. `Retry-After` is the estimated time until the least
+ * loaded target has drained its queue, based on the average duration of the service's requests.
  */
 export function refuseWithoutTarget(
   service: string,
   targets: readonly TargetLoad[],
-  usualMilliseconds: number,
+  averageMilliseconds: number,
 ): Refusal {
   return {
     status: 503,
     code: targets.length === 0 ? 'no_target' : 'not_run',
     message: `no target of ${service} took the request; it was not run`,
-    retryAfterSeconds: pauseFor(targets, usualMilliseconds),
+    retryAfterSeconds: queueDrainSeconds(targets, averageMilliseconds),
   };
 }
 
-/** The refusal of a request that may have run, and may not run again. */
+/** Refusal of a request that may have run and is not safe to retry. */
 export function refuseAsUnknown(reason: string): Refusal {
   return {
     status: 502,
@@ -64,7 +62,7 @@
   };
 }
 
-/** The refusal of a request whose time is over. */
+/** Refusal of a request whose deadline has passed. */
 export function refuseAsTooLate(mayHaveRun: boolean): Refusal {
   if (mayHaveRun) {
     const message = 'no answer came in time; the request may have run';
@@ -78,10 +76,10 @@
   };
 }
 
-/** The time until the least loaded target has most likely worked off its queue; seconds. */
-function pauseFor(targets: readonly TargetLoad[], usualMilliseconds: number): number {
+/** Estimated time until the least loaded target has drained its queue, clamped; seconds. */
+function queueDrainSeconds(targets: readonly TargetLoad[], averageMilliseconds: number): number {
   const waits = targets.map(
-    ({ load, slots }) => (Math.max(0, load - slots) * usualMilliseconds) / Math.max(1, slots),
+    ({ load, slots }) => (Math.max(0, load - slots) * averageMilliseconds) / Math.max(1, slots),
   );
   const seconds = Math.min(...waits, Infinity) / 1000;
   const { shortest, longest } = RETRY_AFTER_SECONDS;
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -1,69 +1,67 @@
 import type { Route } from '../routes';
 import { type Refusal, refuseAsTooLate, refuseAsUnknown } from './refusal';
 
-/** Targets that could not be reached before a request is refused. */
-const UNREACHED_LIMIT = 4;
+/** Number of targets that could not be reached after which a request is refused. */
+const UNREACHABLE_TARGET_LIMIT = 4;
 
-/** Status of a server that is not the one that was meant. */
+/** 421 Misdirected Request (RFC 9110): another server now has the address of the target. */
 export const MISDIRECTED = 421;
 
-/** How one try at one target ended. */
+/** How an attempt at a target ended, without the response. */
 export type TryOutcome =
   | { readonly kind: 'answered' }
-  /** The whole answer was passed to the receiver. */
+  /** The complete response was streamed to the receiver. */
   | { readonly kind: 'streamed' }
-  /** Nothing was sent. */
+  /** No part of the request was sent. */
   | { readonly kind: 'not-sent'; readonly reason: string }
-  /** The target says that it did not run the request. */
+  /** The target reports that it did not run the request. */
   | { readonly kind: 'not-run'; readonly status: number }
-  /** The request may have run. */
+  /** The request may have run; `began` tells whether a part of the response was streamed. */
   | { readonly kind: 'unknown'; readonly reason: string; readonly began: boolean }
-  /** The try was given up, as asked. */
+  /** The gateway aborted the attempt at the deadline or because the caller disconnected. */
   | { readonly kind: 'given-up'; readonly sent: boolean; readonly began: boolean };
 
-/** The tries of one request up to now. */
+/** Attempts of one request so far. */
 export interface Tries {
-  /** Targets to which it was sent and that are counted against the route's limit. */
+  /** Attempts that count against the route's limit. */
   readonly reached: number;
-  /** Targets that could not be reached, or were not the ones that were meant. */
+  /** Attempts at targets that could not be reached or whose address belongs to another server. */
   readonly unreached: number;
-  /** Whether one of them may have run it. */
+  /** Whether one of the targets may have run the request. */
   readonly mayHaveRun: boolean;
 }
 
 export const NO_TRIES: Tries = { reached: 0, unreached: 0, mayHaveRun: false };
 
-/** What a request's next step rests on. */
-export interface RetrySnapshot {
+export interface RetryInput {
   readonly route: Pick<Route, 'kind' | 'isResumable' | 'attempts'>;
   readonly tries: Tries;
-  /** How the newest try ended. */
+  /** Outcome of the latest attempt. */
   readonly outcome: TryOutcome;
   readonly hasCallerLeft: boolean;
-  /** Whether a request that did not run may go to another target. */
+  /** Whether retries are enabled in the settings. */
   readonly retries: boolean;
 }
 
-/** What becomes of a request after a try. */
+/** What to do with a request after an attempt. */
 export type NextStep =
   | { readonly kind: 'deliver' }
   | { readonly kind: 'caller-left' }
   | { readonly kind: 'try-another'; readonly tries: Tries }
-  /** Nothing is left to try. */
+  /** No further attempt is allowed. */
   | { readonly kind: 'exhausted'; readonly tries: Tries }
   | {
       readonly kind: 'refuse';
       readonly refusal: Refusal;
-      /** Whether a part of an answer went to the caller already. */
+      /** Whether a part of the response was already sent to the caller. */
       readonly began: boolean;
-      /** Whether it is certain that no target has run the request. */
+      /** Whether it is certain that no target ran the request. */
       readonly isNotRun: boolean;
     };
 
 /**
- * Decides after each try whether a request is tried elsewhere. Answers targets that are full, gone or
- * cut off: what certainly did not run goes to another target at once, and what may have run only where
- * its route allows that, so that nothing is done twice.
+ * Decides after each attempt whether to retry at another target. A request that did not run is
+ * retried at once; one that may have run is retried only if its route allows repeated execution.
  */
 export function decideNext({
   route,
@@ -71,7 +69,7 @@
   outcome,
   hasCallerLeft,
   retries,
-}: RetrySnapshot): NextStep {
+}: RetryInput): NextStep {
   switch (outcome.kind) {
     case 'answered':
     case 'streamed':
@@ -83,38 +81,45 @@
       return { kind: 'refuse', refusal, began: outcome.began, isNotRun: !mayHaveRun };
     }
     case 'unknown':
-      if (outcome.began || !mayRunAgain(route)) {
+      if (outcome.began || !isRetrySafe(route)) {
         const refusal = refuseAsUnknown(outcome.reason);
         return { kind: 'refuse', refusal, began: outcome.began, isNotRun: false };
       }
-      return goOn(route, { ...tries, reached: tries.reached + 1, mayHaveRun: true }, retries);
+      return retryOrExhaust(
+        route,
+        { ...tries, reached: tries.reached + 1, mayHaveRun: true },
+        retries,
+      );
     case 'not-sent':
-      return goOn(route, { ...tries, unreached: tries.unreached + 1 }, retries);
+      return retryOrExhaust(route, { ...tries, unreached: tries.unreached + 1 }, retries);
     case 'not-run':
-      return goOn(route, countNotRun(tries, outcome.status), retries);
+      return retryOrExhaust(route, countRejected(tries, outcome.status), retries);
   }
 }
 
-/** Whether a call may go to a second target while its first try is under way. */
-export function mayBeSentTwice({ kind, attempts }: RetrySnapshot['route'], tries: Tries): boolean {
+/** Whether a hedged request may be sent while the first attempt is outstanding. */
+export function mayBeSentTwice({ kind, attempts }: RetryInput['route'], tries: Tries): boolean {
   return kind === 'repeatable' && tries.reached + 1 < attempts;
 }
 
-/** Another server having the address is no try at the one that was meant. */
-function countNotRun(tries: Tries, status: number): Tries {
+/**
+ * A misdirected request never reached its target, so it does not count against the route's limit.
+ */
+function countRejected(tries: Tries, status: number): Tries {
   if (status === MISDIRECTED) return { ...tries, unreached: tries.unreached + 1 };
   return { ...tries, reached: tries.reached + 1 };
 }
 
-function goOn({ attempts }: RetrySnapshot['route'], tries: Tries, retries: boolean): NextStep {
-  const isOver = tries.reached >= attempts || tries.unreached >= UNREACHED_LIMIT;
-  return isOver || !retries ? { kind: 'exhausted', tries } : { kind: 'try-another', tries };
+function retryOrExhaust(
+  { attempts }: RetryInput['route'],
+  tries: Tries,
+  retries: boolean,
+): NextStep {
+  const isExhausted = tries.reached >= attempts || tries.unreached >= UNREACHABLE_TARGET_LIMIT;
+  return isExhausted || !retries ? { kind: 'exhausted', tries } : { kind: 'try-another', tries };
 }
 
-/**
- * Whether a request whose outcome is not known may be sent again. For a stream that may be resumed
- * this saves the caller a whole try of its own where an engine ends or loses an answer.
- */
-function mayRunAgain({ kind, isResumable }: RetrySnapshot['route']): boolean {
+/** Whether a request with an unknown outcome may be sent again. */
+function isRetrySafe({ kind, isResumable }: RetryInput['route']): boolean {
   return kind === 'repeatable' || (kind === 'stream' && isResumable);
 }
--- a/src/decisions/send-budget.ts
+++ b/src/decisions/send-budget.ts
@@ -1,24 +1,29 @@
-/** Second sends that may be saved up; a few calls late at once are no sign of overload. */
-const SAVED_SENDS = 10;
+/** Hedged requests that can accumulate, so that a few late calls at once are all hedged. */
+const SAVED_HEDGES_LIMIT = 10;
 
-/** Bounds second sends to a share of the calls, so that they never add much to an overload. */
+/**
+ * Token bucket that limits hedged requests to a share of the calls, so that they don't amplify
+ * overload.
+ */
 export class SendBudget {
-  readonly #share: number;
-  #sends = SAVED_SENDS;
+  readonly #hedgesPerCall: number;
+  #availableHedges = SAVED_HEDGES_LIMIT;
 
-  /** `share`: second sends for each call. */
-  constructor(share: number) {
-    this.#share = share;
+  constructor(hedgesPerCall: number) {
+    this.#hedgesPerCall = hedgesPerCall;
   }
 
   noteCall(): void {
-    this.#sends = Math.min(this.#sends + this.#share, SAVED_SENDS);
+    this.#availableHedges = Math.min(
+      this.#availableHedges + this.#hedgesPerCall,
+      SAVED_HEDGES_LIMIT,
+    );
   }
 
-  /** Takes one second send; returns whether there was one left. */
+  /** Consumes one hedged request; returns false if none is available. */
   take(): boolean {
-    if (this.#sends < 1) return false;
-    this.#sends -= 1;
+    if (this.#availableHedges < 1) return false;
+    this.#availableHedges -= 1;
     return true;
   }
 }
--- a/src/decisions/switches.ts
+++ b/src/decisions/switches.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
-/** Ways to choose a target; all but the first stand for comparison. */
+/** `soonest` is used in production; the others are baselines for benchmarks. */
 export const PLACEMENT_POLICIES = [
   'soonest',
   'round-robin',
@@ -8,39 +8,35 @@
   'prefix-affinity',
 ] as const;
 
-/**
- * Which mechanisms decide about requests. All are in use unless the settings switch one off, which is
- * meant for measuring what each is worth.
- */
+/** Settings that disable single decision mechanisms, for ablation benchmarks. */
 export const decisionSwitchesSchema = z
   .strictObject({
     'placement-policy': z.enum(PLACEMENT_POLICIES).default('soonest'),
-    /** Weigh what engines hold of a prompt, as far as this process has sent it to them. */
+    /** Prefer engines that cache parts of the prompt, estimated from what this process has sent. */
     'held-parts': z.boolean().default(true),
-    /** Weigh what the engine of a conversation's last turn holds of it. */
+    /** Prefer the engine of the conversation's previous turn, which caches the conversation. */
     'last-target': z.boolean().default(true),
-    /** Prefer targets in the own availability zone. */
+    /** Prefer targets in the gateway's availability zone. */
     zones: z.boolean().default(true),
-    /** Weigh the share of requests that failed lately at each target. */
+    /** Avoid targets with a high share of recent failures. */
     'failure-shares': z.boolean().default(true),
-    /** Keep new work away from targets that can't be reached, for a time that grows. */
+    /** Exclude unreachable targets with exponential backoff. */
     pauses: z.boolean().default(true),
-    /** Tell the other gateways what is under way at each target. */
+    /** Exchange the number of requests in flight per target with the other gateways. */
     'shared-loads': z.boolean().default(true),
-    /** Begin no program while the engines are overloaded. */
+    /** Refuse new programs while the engines are overloaded. */
     'overload-refusals': z.boolean().default(true),
-    /** Send a request to another target where the first has not run it. */
+    /** Retry at another target. */
     retries: z.boolean().default(true),
-    /** Send a late repeatable call to a second target. */
+    /** Send a hedged request when a repeatable call is late. */
     'second-sends': z.boolean().default(true),
-    /** Tell engines the priority of the route. */
+    /** Send engines the priority of the request. */
     'engine-priorities': z.boolean().default(true),
-    /** Have one gateway read the list of targets for all. */
+    /** Let one gateway read the target list on behalf of all gateways. */
     'list-reader': z.boolean().default(true),
   })
   .readonly();
 
 export type DecisionSwitches = z.output<typeof decisionSwitchesSchema>;
 
-/** Everything in use. */
 export const ALL_DECISIONS: DecisionSwitches = decisionSwitchesSchema.parse({});
--- a/src/decisions/tests/admission.test.ts
+++ b/src/decisions/tests/admission.test.ts
@@ -4,39 +4,39 @@
 const FITS: Learned<boolean> = { kind: 'known', value: true };
 const UNAVAILABLE = { kind: 'unavailable', reason: 'too few stores answer' } as const;
 
-describe('the admission of a turn', () => {
-  it('hands over what it continues', () => {
+describe('admitTurn', () => {
+  it('returns the chain of an admitted turn', () => {
     const admission = admitTurn({ chain: CHAIN, fitsBudget: FITS, reachesQuorum: true });
     expect(admission).toEqual({ kind: 'admitted', chain: ['turn'] });
   });
 
-  const ABSENT: Learned<readonly string[] | undefined> = { kind: 'known', value: undefined };
-  const TOO_MUCH: Learned<boolean> = { kind: 'known', value: false };
+  const MISSING_CHAIN: Learned<readonly string[] | undefined> = { kind: 'known', value: undefined };
+  const EXCEEDS: Learned<boolean> = { kind: 'known', value: false };
 
   it.each([
-    ['404 only where it is certain that the turn does not exist', ABSENT, FITS, 404],
-    ['503 where nobody can tell', UNAVAILABLE, FITS, 503],
-    ['402 where it does not fit in the budget', CHAIN, TOO_MUCH, 402],
-    ['503 where the budget is not known', CHAIN, UNAVAILABLE, 503],
-    ['503 where neither is known', UNAVAILABLE, UNAVAILABLE, 503],
-  ] as const)('refuses with %s', (_why, chain, fitsBudget, status) => {
+    ['404 when the stores confirm that the turn does not exist', MISSING_CHAIN, FITS, 404],
+    ['503 when the chain is unavailable', UNAVAILABLE, FITS, 503],
+    ['402 when the turn exceeds the budget', CHAIN, EXCEEDS, 402],
+    ['503 when the budget is unavailable', CHAIN, UNAVAILABLE, 503],
+    ['503 when chain and budget are unavailable', UNAVAILABLE, UNAVAILABLE, 503],
+  ] as const)('refuses with %s', (_condition, chain, fitsBudget, status) => {
     const admission = admitTurn<readonly string[]>({ chain, fitsBudget, reachesQuorum: true });
     expect(admission).toMatchObject({ kind: 'refused', refusal: { status } });
   });
 
-  it('waits for stores only while a quorum is reached, and says when to come back', () => {
+  it('shortens the store timeout and lengthens Retry-After without a quorum', () => {
     expect(preparationTime(false)).toBeLessThan(50);
     expect(preparationTime(true)).toBe(1500);
-    const parts = { chain: UNAVAILABLE, fitsBudget: FITS };
-    const near = admitTurn({ ...parts, reachesQuorum: true });
-    const far = admitTurn({ ...parts, reachesQuorum: false });
-    expect(near).toMatchObject({ refusal: { retryAfterSeconds: 0.3 } });
-    expect(far).toMatchObject({ refusal: { retryAfterSeconds: 1 } });
+    const unavailable = { chain: UNAVAILABLE, fitsBudget: FITS };
+    const withQuorum = admitTurn({ ...unavailable, reachesQuorum: true });
+    const withoutQuorum = admitTurn({ ...unavailable, reachesQuorum: false });
+    expect(withQuorum).toMatchObject({ refusal: { retryAfterSeconds: 0.3 } });
+    expect(withoutQuorum).toMatchObject({ refusal: { retryAfterSeconds: 1 } });
   });
 });
 
-describe('the refusal of a request that no target took', () => {
-  it('asks for the time in which the least loaded target works off what waits there', () => {
+describe('refuseWithoutTarget', () => {
+  it('sets Retry-After to the time in which the least loaded target drains its queue', () => {
     const targets = [
       { load: 12, slots: 6 },
       { load: 9, slots: 6 },
@@ -45,19 +45,19 @@
     expect(refuseWithoutTarget('s', targets, 600).retryAfterSeconds).toBeCloseTo(0.3);
   });
 
-  it('asks for longer where requests take longer', () => {
+  it('scales Retry-After with the average request duration', () => {
     const targets = [{ load: 9, slots: 6 }];
     expect(refuseWithoutTarget('s', targets, 1200).retryAfterSeconds).toBeCloseTo(0.6);
   });
 
-  it('asks for a tenth of a second at least, and for a second at most', () => {
-    const pauseFor = (load: number) =>
+  it('limits Retry-After to 0.1 to 1 s', () => {
+    const retryAfterAt = (load: number) =>
       refuseWithoutTarget('s', [{ load, slots: 6 }], 600).retryAfterSeconds;
-    expect(pauseFor(0)).toBe(0.1);
-    expect(pauseFor(600)).toBe(1);
+    expect(retryAfterAt(0)).toBe(0.1);
+    expect(retryAfterAt(600)).toBe(1);
   });
 
-  it('says where a service has no target at all', () => {
+  it('returns no_target when the service has no targets', () => {
     expect(refuseWithoutTarget('s', [], 600)).toMatchObject({
       code: 'no_target',
       retryAfterSeconds: 1,
--- a/src/decisions/tests/keys.test.ts
+++ b/src/decisions/tests/keys.test.ts
@@ -4,18 +4,18 @@
 const TEAM: Team = { name: 'red', keyDigests: [], priority: 0, quota: undefined };
 const IDENTITY = { kind: 'team', team: TEAM } as const;
 
-describe('the use of a key', () => {
-  describe('where removed keys must be out of use within 5 s', () => {
+describe('checkKey', () => {
+  describe('with a removal deadline of 5 s', () => {
     const removalMilliseconds = 5000;
 
-    it('goes on while the leader was heard lately, and ends before the time is over', () => {
-      const verdictAt = (confirmationAge: number) =>
+    it('accepts a key until 85% of the deadline has passed since the last confirmation', () => {
+      const decisionAt = (confirmationAge: number) =>
         judgeKey({ identity: IDENTITY, confirmationAge, removalMilliseconds }).kind;
-      expect([0, 3000, 4200].map(verdictAt)).toEqual(['serve', 'serve', 'serve']);
-      expect([4300, 5000, Infinity].map(verdictAt)).toEqual(['refuse', 'refuse', 'refuse']);
+      expect([0, 3000, 4200].map(decisionAt)).toEqual(['serve', 'serve', 'serve']);
+      expect([4300, 5000, Infinity].map(decisionAt)).toEqual(['refuse', 'refuse', 'refuse']);
     });
 
-    it('is refused as not run, with a time to come back', () => {
+    it('refuses with 503 and Retry-After when the confirmation has expired', () => {
       const snapshot = { identity: IDENTITY, confirmationAge: Infinity, removalMilliseconds };
       expect(judgeKey(snapshot)).toMatchObject({
         refusal: { status: 503, code: 'keys_unconfirmed', retryAfterSeconds: 0.6 },
@@ -23,24 +23,26 @@
     });
   });
 
-  describe('where nothing is asked of their removal', () => {
-    it('goes on without the leader', () => {
+  describe('without a removal deadline', () => {
+    it('accepts a key without a confirmation', () => {
       expect(mayUseKeys(Infinity, undefined)).toBe(true);
     });
   });
 
-  describe('without a team', () => {
-    const others = { confirmationAge: Infinity, removalMilliseconds: 5000 };
+  describe('when the request matches no team', () => {
+    const unconfirmed = { confirmationAge: Infinity, removalMilliseconds: 5000 };
 
-    it('needs no leader where anyone is served', () => {
-      expect(judgeKey({ identity: { kind: 'anyone' }, ...others })).toEqual({ kind: 'serve' });
+    it('serves anonymous callers without a confirmation', () => {
+      expect(judgeKey({ identity: { kind: 'anyone' }, ...unconfirmed })).toEqual({ kind: 'serve' });
     });
 
-    it('is refused without a key, and asked about with one that nobody is known to hold', () => {
-      expect(judgeKey({ identity: { kind: 'no-key' }, ...others })).toMatchObject({
+    it('refuses a missing key and asks the leader about an unknown key', () => {
+      expect(judgeKey({ identity: { kind: 'no-key' }, ...unconfirmed })).toMatchObject({
         refusal: { status: 401, code: 'no_key' },
       });
-      expect(judgeKey({ identity: { kind: 'unknown-key' }, ...others })).toEqual({ kind: 'ask' });
+      expect(judgeKey({ identity: { kind: 'unknown-key' }, ...unconfirmed })).toEqual({
+        kind: 'ask',
+      });
     });
   });
 });
--- a/src/decisions/tests/overload.test.ts
+++ b/src/decisions/tests/overload.test.ts
@@ -2,36 +2,36 @@
 import { refuseInOverload } from '..';
 
 const RANDOM = new SeededRandom(1);
-const FULL = { service: 's', load: 75, slots: 60, startsProgram: true };
+const OVERLOADED = { service: 's', load: 75, slots: 60, startsProgram: true };
 
-describe('engines with five requests for four places', () => {
-  it('begin no program, and the caller is told when to come back', () => {
-    const refusal = refuseInOverload(FULL, RANDOM);
+describe('refuseInOverload at 1.25 requests per slot', () => {
+  it('refuses a new program with 503 and states that it was not run', () => {
+    const refusal = refuseInOverload(OVERLOADED, RANDOM);
     expect(refusal).toMatchObject({ status: 503, code: 'overloaded' });
     expect(refusal?.message).toContain('was not run');
   });
 
-  it('ask callers back at different moments, 0.1 to 0.3 s later', () => {
-    const pauses = Array.from(
+  it('spreads Retry-After over 0.1 to 0.3 s', () => {
+    const retryAfterSeconds = Array.from(
       { length: 50 },
-      () => refuseInOverload(FULL, RANDOM)?.retryAfterSeconds ?? 0,
+      () => refuseInOverload(OVERLOADED, RANDOM)?.retryAfterSeconds ?? 0,
     );
-    expect(Math.min(...pauses)).toBeGreaterThanOrEqual(0.1);
-    expect(Math.max(...pauses)).toBeLessThanOrEqual(0.3);
-    expect(new Set(pauses).size).toBeGreaterThan(40);
+    expect(Math.min(...retryAfterSeconds)).toBeGreaterThanOrEqual(0.1);
+    expect(Math.max(...retryAfterSeconds)).toBeLessThanOrEqual(0.3);
+    expect(new Set(retryAfterSeconds).size).toBeGreaterThan(40);
   });
 
-  it('go on with programs under way', () => {
-    expect(refuseInOverload({ ...FULL, startsProgram: false }, RANDOM)).toBeUndefined();
+  it('admits further turns of a running program', () => {
+    expect(refuseInOverload({ ...OVERLOADED, startsProgram: false }, RANDOM)).toBeUndefined();
   });
 });
 
-describe('engines with fewer requests', () => {
-  it('begin every program', () => {
-    expect(refuseInOverload({ ...FULL, load: 74 }, RANDOM)).toBeUndefined();
+describe('refuseInOverload below the limit', () => {
+  it('admits a new program', () => {
+    expect(refuseInOverload({ ...OVERLOADED, load: 74 }, RANDOM)).toBeUndefined();
   });
 
-  it('are still tried where none seems to be within reach', () => {
-    expect(refuseInOverload({ ...FULL, load: 0, slots: 0 }, RANDOM)).toBeUndefined();
+  it('admits a new program when no engine is reachable', () => {
+    expect(refuseInOverload({ ...OVERLOADED, load: 0, slots: 0 }, RANDOM)).toBeUndefined();
   });
 });
--- a/src/decisions/tests/placement.test.ts
+++ b/src/decisions/tests/placement.test.ts
@@ -10,7 +10,7 @@
 
 const RANDOM = new SeededRandom(1);
 
-function candidate(id: string, facts: Partial<PlacementCandidate> = {}): PlacementCandidate {
+function candidate(id: string, overrides: Partial<PlacementCandidate> = {}): PlacementCandidate {
   return {
     id,
     availabilityZone: 'a',
@@ -18,52 +18,52 @@
     load: 0,
     failureShare: 0,
     isPaused: false,
-    heldTokens: 0,
-    ...facts,
+    cachedTokens: 0,
+    ...overrides,
   };
 }
 
-/** Places a turn of 4,000 tokens that `last` holds. */
+/** Places a turn with a prompt of 4,000 tokens, of which the target `last` caches 3,900. */
 function placeTurn(
   candidates: readonly PlacementCandidate[],
   switches: Partial<DecisionSwitches> = {},
 ): string | undefined {
   const { engine } = createPlacers({ ...ALL_DECISIONS, ...switches });
-  const prompt = { promptTokens: 4000, lastTarget: 'last', lastHeldTokens: 3900 };
-  const snapshot = { availabilityZone: 'a', ...prompt, candidates };
-  return engine.place(snapshot, RANDOM)?.candidate.id;
+  const prompt = { promptTokens: 4000, lastTarget: 'last', lastTargetCachedTokens: 3900 };
+  const input = { availabilityZone: 'a', ...prompt, candidates };
+  return engine.place(input, RANDOM)?.candidate.id;
 }
 
-describe('switches of the placement', () => {
+describe('placement switches', () => {
   const last = candidate('last', { load: 5 });
   const idle = candidate('idle');
 
-  it('are all on unless the settings say otherwise', () => {
+  it('are all enabled by default and reject unknown keys', () => {
     expect(
       Object.values(ALL_DECISIONS).every((value) => value === true || value === 'soonest'),
     ).toBe(true);
     expect(decisionSwitchesSchema.safeParse({ zone: false }).success).toBe(false);
   });
 
-  it('last-target: the engine of the last turn is preferred', () => {
+  it('last-target: prefers the engine of the previous turn', () => {
     expect(placeTurn([last, idle])).toBe('last');
     expect(placeTurn([last, idle], { 'last-target': false })).toBe('idle');
   });
 
-  it('held-parts: an engine that holds a part is preferred', () => {
-    const holding = candidate('holding', { heldTokens: 2500, load: 5 });
-    expect(placeTurn([holding, idle])).toBe('holding');
-    expect(placeTurn([holding, idle], { 'held-parts': false })).toBe('idle');
+  it('held-parts: prefers an engine that caches a part of the prompt', () => {
+    const caching = candidate('caching', { cachedTokens: 2500, load: 5 });
+    expect(placeTurn([caching, idle])).toBe('caching');
+    expect(placeTurn([caching, idle], { 'held-parts': false })).toBe('idle');
   });
 
-  it('zones: a near engine is preferred', () => {
-    const far = candidate('far', { availabilityZone: 'b' });
-    const near = candidate('near', { load: 1 });
-    expect(placeTurn([far, near])).toBe('near');
-    expect(placeTurn([far, near], { zones: false })).toBe('far');
+  it('zones: prefers an engine in the same availability zone', () => {
+    const remote = candidate('remote', { availabilityZone: 'b' });
+    const local = candidate('local', { load: 1 });
+    expect(placeTurn([remote, local])).toBe('local');
+    expect(placeTurn([remote, local], { zones: false })).toBe('remote');
   });
 
-  it('failure-shares: an engine that fails is avoided', () => {
+  it('failure-shares: avoids an engine with failures', () => {
     const failing = candidate('failing', { failureShare: 0.3 });
     const busy = candidate('busy', { load: 5 });
     expect(placeTurn([failing, busy])).toBe('busy');
@@ -71,38 +71,38 @@
   });
 });
 
-describe('baselines of the placement', () => {
+describe('baseline placement policies', () => {
   const candidates = [
     candidate('last', { load: 20 }),
     candidate('busy', { load: 3 }),
     candidate('idle', { load: 1, availabilityZone: 'b', failureShare: 0.9 }),
   ];
 
-  it('round robin takes target after target', () => {
+  it('round-robin cycles through the targets', () => {
     const { engine } = createPlacers({ ...ALL_DECISIONS, 'placement-policy': 'round-robin' });
-    const snapshot = {
+    const input = {
       availabilityZone: 'a',
       promptTokens: 0,
       lastTarget: undefined,
-      lastHeldTokens: 0,
+      lastTargetCachedTokens: 0,
       candidates,
     };
-    const ids = [1, 2, 3, 4].map(() => engine.place(snapshot, RANDOM)?.candidate.id);
+    const ids = [1, 2, 3, 4].map(() => engine.place(input, RANDOM)?.candidate.id);
     expect(ids).toEqual(['last', 'busy', 'idle', 'last']);
-    expect(engine.place({ ...snapshot, candidates: [] }, RANDOM)).toBeUndefined();
+    expect(engine.place({ ...input, candidates: [] }, RANDOM)).toBeUndefined();
   });
 
-  it('least load goes by the load alone', () => {
+  it('least-load ignores everything but the load', () => {
     expect(placeTurn(candidates, { 'placement-policy': 'least-load' })).toBe('idle');
   });
 
-  it('prefix affinity goes by what is held alone', () => {
+  it('prefix-affinity ignores everything but the cached tokens', () => {
     expect(placeTurn(candidates, { 'placement-policy': 'prefix-affinity' })).toBe('last');
   });
 });
 
-describe('the priority that engines are told', () => {
-  it('keeps the order of routes within what engines know', () => {
+describe('enginePriority', () => {
+  it('preserves the order of route priorities and is at most 9', () => {
     const priorities = [0, 1, 2, 7].map((priority) => enginePriority({ priority }, undefined));
     expect(priorities).toEqual([2, 5, 8, 9]);
   });
--- a/src/decisions/usual-times.ts
+++ b/src/decisions/usual-times.ts
@@ -1,47 +1,53 @@
-/** Answers remembered for each route; enough for one in fifty to stand out. */
-const REMEMBERED = 128;
+/** Samples kept per route; enough for a 98th percentile. */
+const SAMPLE_LIMIT = 128;
 
-/** Answers without which nothing is said of a route. */
-const LEAST = 32;
+/** Samples required before a quantile is reported. */
+const MINIMUM_SAMPLES = 32;
 
-/** Answers after which the usual time is worked out anew. */
-const RENEWAL = 16;
+/** New samples after which the quantile is recomputed. */
+const SAMPLES_PER_UPDATE = 16;
 
-interface RouteTimes {
-  readonly times: number[];
-  next: number;
-  fresh: number;
-  usual: number | undefined;
+interface RouteSamples {
+  readonly milliseconds: number[];
+  nextIndex: number;
+  newSamples: number;
+  quantileMilliseconds: number | undefined;
 }
 
-/** How long calls of each route usually take, learned from the latest answers. Milliseconds. */
+/** Quantile of the latency of each route over its latest calls. */
 export class UsualTimes {
-  readonly #share: number;
-  readonly #routes = new Map<string, RouteTimes>();
+  readonly #quantile: number;
+  readonly #routes = new Map<string, RouteSamples>();
 
-  /** `share` of the answers come within the usual time. */
-  constructor(share: number) {
-    this.#share = share;
+  /** `quantile`: from 0 to 1. */
+  constructor(quantile: number) {
+    this.#quantile = quantile;
   }
 
   note(route: string, milliseconds: number): void {
-    const known = this.#routes.get(route) ?? { times: [], next: 0, fresh: 0, usual: undefined };
-    this.#routes.set(route, known);
-    known.times[known.next] = milliseconds;
-    known.next = (known.next + 1) % REMEMBERED;
-    known.fresh += 1;
-    if (known.times.length < LEAST || known.fresh < RENEWAL) return;
-    known.fresh = 0;
-    known.usual = this.#quantile(known.times);
+    const state = this.#routes.get(route) ?? {
+      milliseconds: [],
+      nextIndex: 0,
+      newSamples: 0,
+      quantileMilliseconds: undefined,
+    };
+    this.#routes.set(route, state);
+    state.milliseconds[state.nextIndex] = milliseconds;
+    state.nextIndex = (state.nextIndex + 1) % SAMPLE_LIMIT;
+    state.newSamples += 1;
+    if (state.milliseconds.length < MINIMUM_SAMPLES || state.newSamples < SAMPLES_PER_UPDATE)
+      return;
+    state.newSamples = 0;
+    state.quantileMilliseconds = this.#computeQuantile(state.milliseconds);
   }
 
-  /** Nothing while too few calls of the route were answered. */
+  /** Milliseconds; undefined while the route has too few state. */
   of(route: string): number | undefined {
-    return this.#routes.get(route)?.usual;
+    return this.#routes.get(route)?.quantileMilliseconds;
   }
 
-  #quantile(times: readonly number[]): number | undefined {
-    const sorted = [...times].sort((left, right) => left - right);
-    return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * this.#share))];
+  #computeQuantile(milliseconds: readonly number[]): number | undefined {
+    const sorted = [...milliseconds].sort((left, right) => left - right);
+    return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * this.#quantile))];
   }
 }
--- a/src/targets/chooser.ts
+++ b/src/targets/chooser.ts
@@ -1,29 +1,29 @@
 import type { Clock, RandomSource } from '../core';
 import type { EngineLoad, PlacementCandidate, Placer } from '../decisions';
 import type { TargetDirectory } from './directory';
-import { PartHolders } from './part-holders';
+import { PrefixCacheIndex } from './part-holders';
 import type { TargetState } from './state';
 import type { PromptPart } from './target';
 
-/** What is to be placed. */
 export interface PlacementRequest {
   readonly parts: readonly PromptPart[];
-  /** Tokens of the whole prompt. */
   readonly promptTokens: number;
-  /** Engine that holds the cache of what is continued. */
+  /** Engine of the previous turn of the conversation. */
   readonly lastTarget: string | undefined;
-  /** Tokens of the prompt that the last target holds. */
+  /** Prompt tokens in the cache of `lastTarget`. */
   readonly heldTokens: number;
 }
 
-/** A chosen target with what decided it, for the log. */
+/** A selected target, with the inputs of the decision for the log. */
 export interface Placement {
   readonly state: TargetState;
-  /** Milliseconds for an engine, a share of its slots for a plain service. */
+  /** Milliseconds for an engine, a share of the slots for other targets. */
   readonly cost: number;
-  /** Targets that were weighed. */
+  /** Number of targets that were compared. */
   readonly candidates: number;
-  /** Ages of what the choice rested on; milliseconds, infinite where nothing was heard. */
+  /**
+   * Ages of the target list and of other gateways' loads; milliseconds, infinite if never received.
+   */
   readonly ages: { readonly list: number; readonly loads: number };
 }
 
@@ -31,9 +31,9 @@
   readonly service: string;
   readonly placer: Placer;
   readonly placement: PlacementRequest;
-  /** Ids of targets that were tried already. */
+  /** Ids of the targets of earlier attempts, which are not selected again. */
   readonly tried: ReadonlySet<string>;
-  /** Connections that a target accepts from all gateways together. */
+  /** Maximum number of connections to a target from all gateways together. */
   readonly connectionLimit: number;
 }
 
@@ -44,39 +44,39 @@
   readonly random: RandomSource;
 }
 
-/** Gathers what is known of a service's targets and has one of them chosen. */
+/** Collects the candidates of a service and lets a placement policy select one of them. */
 export class TargetChooser {
   readonly #options: TargetChooserOptions;
-  readonly #holders = new PartHolders();
+  readonly #prefixCaches = new PrefixCacheIndex();
 
   constructor(options: TargetChooserOptions) {
     this.#options = options;
   }
 
-  /** Nothing if no target is left. */
+  /** Returns undefined if no target is available. */
   choose(request: ChoiceRequest): Placement | undefined {
     const { availabilityZone, clock, random, targets } = this.#options;
     const { parts, promptTokens, lastTarget, heldTokens } = request.placement;
     const now = clock.monotonic();
     const candidates: PlacementCandidate[] = [];
-    for (const state of this.#select(request)) candidates.push(state.candidateAt(now, parts));
+    for (const state of this.#candidates(request)) candidates.push(state.candidateAt(now, parts));
     const decision = request.placer.place(
       {
         availabilityZone,
         promptTokens,
         lastTarget,
-        lastHeldTokens: heldTokens,
+        lastTargetCachedTokens: heldTokens,
         candidates,
       },
       random,
     );
     const state = decision === undefined ? undefined : targets.get(decision.candidate.id);
     if (decision === undefined || state === undefined) return undefined;
-    const { cost, weighed } = decision;
-    return { state, cost, candidates: weighed, ages: targets.agesAt(now) };
+    const { cost, consideredCount } = decision;
+    return { state, cost, candidates: consideredCount, ages: targets.agesAt(now) };
   }
 
-  /** What the services' targets that can be reached have under way; of a large one, a sample. */
+  /** Total load of the targets that are not paused; of a large service, only of a sample. */
   loadOf(services: readonly string[]): EngineLoad {
     const { targets, availabilityZone, random } = this.#options;
     const states = services
@@ -88,37 +88,51 @@
     };
   }
 
-  /** Notes what an engine has read, and generated behind it. */
+  /** Records the prompt parts and generated tokens that an engine has added to its cache. */
   noteParts(
     state: TargetState,
     parts: readonly PromptPart[],
     generatedTokens: number,
-    memoryTokens: number,
+    cacheCapacityTokens: number,
   ): void {
-    state.noteParts(parts, generatedTokens, memoryTokens);
+    state.noteParts(parts, generatedTokens, cacheCapacityTokens);
     const [first] = parts;
-    if (first !== undefined) this.#holders.note(first.id, state.target.id);
+    if (first !== undefined) this.#prefixCaches.record(first.id, state.target.id);
   }
 
-  /** The targets to weigh; all of the service where none of a sample is left. */
-  #select({ service, placement, tried, connectionLimit }: ChoiceRequest): readonly TargetState[] {
+  /** Targets to compare: the selected ones, or all of the service if none of these is available. */
+  #candidates({
+    service,
+    placement,
+    tried,
+    connectionLimit,
+  }: ChoiceRequest): readonly TargetState[] {
     const { targets, availabilityZone, random } = this.#options;
-    const ofService = targets.ofService(service);
-    const isLeft = ({ target, load }: TargetState) =>
+    const serviceTargets = targets.ofService(service);
+    const isAvailable = ({ target, load }: TargetState) =>
       load < connectionLimit && !tried.has(target.id);
-    const selected = ofService.select(this.#known(service, placement), availabilityZone, random);
-    const left = selected.filter(isLeft);
-    return left.length > 0 || selected === ofService.all ? left : ofService.all.filter(isLeft);
+    const selected = serviceTargets.select(
+      this.#cachingTargets(service, placement),
+      availabilityZone,
+      random,
+    );
+    const available = selected.filter(isAvailable);
+    return available.length > 0 || selected === serviceTargets.all
+      ? available
+      : serviceTargets.all.filter(isAvailable);
   }
 
-  /** Targets of the service that are known to hold the prompt's beginning, or all but its end. */
-  #known(service: string, { parts, lastTarget }: PlacementRequest): readonly TargetState[] {
+  /** Targets of the service that are known to cache the first prompt part or the conversation. */
+  #cachingTargets(
+    service: string,
+    { parts, lastTarget }: PlacementRequest,
+  ): readonly TargetState[] {
     const [first] = parts;
-    const ids = first === undefined ? [] : this.#holders.of(first.id);
+    const ids = first === undefined ? [] : this.#prefixCaches.targetsFor(first.id);
     return [...ids, ...(lastTarget === undefined ? [] : [lastTarget])].flatMap((id) => {
       const state = this.#options.targets.get(id);
-      const isKnown = state?.target.service === service && !state.target.draining;
-      return isKnown ? [state] : [];
+      const isEligible = state?.target.service === service && !state.target.draining;
+      return isEligible ? [state] : [];
     });
   }
 }
--- a/src/targets/connections.ts
+++ b/src/targets/connections.ts
@@ -4,35 +4,34 @@
 import { type Component, type Logger, type Metrics, parseAddress } from '../core';
 import type { TargetState } from './state';
 
-/** Longest time to open a connection; a target takes 1 ms. Milliseconds. */
-const CONNECT_MILLISECONDS = 500;
+const CONNECT_TIMEOUT_MILLISECONDS = 500;
 
-/** Idle time after which a connection is closed where the target names none; milliseconds. */
-const IDLE_MILLISECONDS = 20_000;
+/** Idle time after which a connection is closed unless the target sends a keep-alive timeout. */
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 20_000;
 
-/** Time by which a connection is closed before the target would close it; milliseconds. */
-const IDLE_MARGIN_MILLISECONDS = 1000;
+/** Margin by which a connection is closed before the keep-alive timeout of the target. */
+const KEEP_ALIVE_MARGIN_MILLISECONDS = 1000;
 
-/** One connection to a target, which carries one request at a time. */
+/** A connection to a target that carries one request at a time. */
 export interface TargetConnection {
   dispatch(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void;
   /**
-   * Whether the connection ended with an error. undici takes an answer that the end of its
-   * connection completes for whole even if that was a reset.
+   * Whether the connection ended with an error. undici reports a response that is delimited by the
+   * end of the connection as complete even if the connection was reset.
    */
   hasFailed(): boolean;
-  /** Gives the connection back after a whole answer; another request may use it. */
+  /** Returns the connection to the pool after a complete response. */
   release(): void;
-  /** Closes the connection: its state is not known. */
+  /** Closes the connection, whose state is unknown. */
   discard(): void;
 }
 
-/** Connections to targets that are kept between requests. */
+/** Pool of idle connections to targets. */
 export class TargetConnections implements Component {
   readonly #logger: Logger;
   readonly #metrics: Metrics;
   readonly #idle = new Map<string, Client[]>();
-  /** Clients whose socket has ended with an error. */
+  /** Clients whose socket ended with an error. */
   readonly #failed = new WeakSet<Client>();
 
   constructor(logger: Logger, metrics: Metrics) {
@@ -40,30 +39,30 @@
     this.#metrics = metrics;
   }
 
-  /** A kept connection, the latest used first, or a new one. */
+  /** Returns the most recently used idle connection, or opens one. */
   take({ target }: TargetState): TargetConnection {
     const key = `${target.id} ${target.address}`;
     const client = this.#idle.get(key)?.pop() ?? this.#open(key, target.address);
-    let done = false;
+    let isReturned = false;
     return {
       dispatch: (options, handler) => {
         client.dispatch(options, handler);
       },
       hasFailed: () => this.#failed.has(client),
       release: () => {
-        if (done) return;
-        done = true;
-        if (!client.destroyed && !client.closed) this.#keep(key, client);
+        if (isReturned) return;
+        isReturned = true;
+        if (!client.destroyed && !client.closed) this.#returnToPool(key, client);
       },
       discard: () => {
-        if (done) return;
-        done = true;
+        if (isReturned) return;
+        isReturned = true;
         this.#close(client);
       },
     };
   }
 
-  /** Closes the kept connections of a target that leaves. */
+  /** Closes the idle connections of a draining or removed target. */
   forget({ target }: TargetState): void {
     const key = `${target.id} ${target.address}`;
     for (const client of this.#idle.get(key) ?? []) this.#close(client);
@@ -81,24 +80,24 @@
     this.#metrics.count('target_connections_opened_total');
     const client: Client = new Client(`http://${address}`, {
       pipelining: 1,
-      connect: connectorTo(address, () => {
+      connect: createConnector(address, () => {
         this.#failed.add(client);
       }),
       headersTimeout: 0,
       bodyTimeout: 0,
-      keepAliveTimeout: IDLE_MILLISECONDS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MILLISECONDS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MILLISECONDS,
     });
     client.on('disconnect', () => {
       const idle = this.#idle.get(key);
-      const place = idle?.indexOf(client) ?? -1;
-      if (place >= 0) idle?.splice(place, 1);
+      const index = idle?.indexOf(client) ?? -1;
+      if (index >= 0) idle?.splice(index, 1);
       this.#close(client);
     });
     return client;
   }
 
-  #keep(key: string, client: Client): void {
+  #returnToPool(key: string, client: Client): void {
     const idle = this.#idle.get(key) ?? [];
     idle.push(client);
     this.#idle.set(key, idle);
@@ -115,16 +114,18 @@
 type Connector = Extract<ClientType.Options['connect'], (...parameters: never[]) => unknown>;
 
 /**
- * Opens sockets whose errors are told before undici hears of them. A reset that arrives together
- * with data shows as an end to Node, since libuv reports the hang-up alone; the socket then has no
- * peer any more, while after an end it still has.
+ * Creates a connector that reports socket errors before undici handles them. Node emits 'end'
+ * instead of an error for a reset that arrives together with data, because libuv only reports the
+ * hang-up. Such a socket has no remote address any more, unlike one that was closed regularly.
  */
-function connectorTo(address: string, onError: () => void): Connector {
+function createConnector(address: string, onError: () => void): Connector {
   const { host, port } = parseAddress(address);
   return (_options, callback) => {
-    const socket = connect({ host, port, noDelay: true, timeout: CONNECT_MILLISECONDS });
+    const socket = connect({ host, port, noDelay: true, timeout: CONNECT_TIMEOUT_MILLISECONDS });
     const onTimeout = () => {
-      socket.destroy(new Error(`no connection in ${CONNECT_MILLISECONDS} ms`));
+      socket.destroy(
+        new Error(`connection not established within ${CONNECT_TIMEOUT_MILLISECONDS} ms`),
+      );
     };
     const onFailedConnect = (error: Error) => {
       callback(error, null);
--- a/src/targets/coordinator.ts
+++ b/src/targets/coordinator.ts
@@ -5,23 +5,24 @@
   readonly self: NodeInfo;
   readonly directory: Pick<NodeDirectory, 'ofKind'>;
   readonly peers: Pick<Caller<Contract>, 'isConnected'>;
-  /** Names of gateways that are passed over. */
-  readonly without?: ReadonlySet<string>;
+  /** Names of gateways that are not eligible. */
+  readonly excluded?: ReadonlySet<string>;
 }
 
 /**
- * The gateway that does for all what one should do: the first by name of those that keep the
- * cluster's state, to which every process has a connection. Gateways that reach different ones may
- * differ in it, so nothing that must be unique rests on it.
+ * Selects the gateway that coordinates the others: the first by name of the connected ones that
+ * keep the cluster state, since every process connects to these. This is no leader election:
+ * gateways with different connections may select different coordinators, so correctness must not
+ * depend on it.
  */
-export function pickCoordinator(options: CoordinatorOptions): NodeInfo {
-  const { self, directory, peers, without } = options;
+export function selectCoordinator(options: CoordinatorOptions): NodeInfo {
+  const { self, directory, peers, excluded } = options;
   const [first] = directory
     .ofKind('gateway')
     .map(({ node }) => node)
     .filter(({ keepsClusterState, address, name }) => {
-      const isOther = name !== self.name && without?.has(name) !== true;
-      return keepsClusterState && isOther && peers.isConnected(address);
+      const isEligible = name !== self.name && excluded?.has(name) !== true;
+      return keepsClusterState && isEligible && peers.isConnected(address);
     })
     .sort((left, right) => (left.name < right.name ? -1 : 1));
   if (first === undefined) return self;
--- a/src/targets/directory.ts
+++ b/src/targets/directory.ts
@@ -11,16 +11,16 @@
 import type { ListedTarget, TargetSource } from './target';
 
 /**
- * Pause between two readings of the list. A leaving target must be known within 3 s, and what
- * another gateway tells may be two pauses old. Milliseconds.
+ * Interval between reads of the target list. A draining target must be noticed within 3 s, and a
+ * list from another gateway may be two intervals old.
  */
-const READ_MILLISECONDS = 700;
+const READ_INTERVAL_MILLISECONDS = 700;
 
-/** Pause after a reading that failed; milliseconds. */
-const RETRY_MILLISECONDS = 250;
+/** Interval after a failed read. */
+const RETRY_INTERVAL_MILLISECONDS = 250;
 
-/** Shares of the pause by which processes are kept from reading at the same time. */
-const SPREAD = { least: 0.9, more: 0.2 };
+/** Random factor of the interval, which prevents processes from reading at the same time. */
+const INTERVAL_JITTER = { minimum: 0.9, range: 0.2 };
 
 export interface TargetDirectoryOptions {
   readonly source: TargetSource;
@@ -29,19 +29,19 @@
   readonly logger: Logger;
 }
 
-/** The targets that the platform lists, with what this process knows of each. */
+/** Targets on the platform's list, with the state that this process keeps for each. */
 export class TargetDirectory implements Component {
   readonly #options: TargetDirectoryOptions;
   readonly #targets = new Map<string, TargetState>();
-  readonly #removalListeners: ((state: TargetState) => void)[] = [];
-  /** Targets that take new work, by service; made anew after each reading of the list. */
+  readonly #drainingListeners: ((state: TargetState) => void)[] = [];
+  /** Targets that accept new requests, by service; rebuilt after each update of the list. */
   readonly #byService = new Map<string, ServiceTargets>();
   #stopped = false;
   #loaded = false;
-  #takenAt = -Infinity;
-  #loadsHeardAt = -Infinity;
-  #reading = true;
-  #cancel: CancelTimer = () => undefined;
+  #listUpdatedAt = -Infinity;
+  #loadsUpdatedAt = -Infinity;
+  #isSourceAvailable = true;
+  #cancelTimer: CancelTimer = () => undefined;
 
   constructor(options: TargetDirectoryOptions) {
     this.#options = options;
@@ -53,18 +53,18 @@
 
   stop(): void {
     this.#stopped = true;
-    this.#cancel();
+    this.#cancelTimer();
   }
 
-  /** Whether the list was read at least once. */
+  /** Whether the list was received at least once. */
   get isLoaded(): boolean {
     return this.#loaded;
   }
 
-  /** Targets of a service that take new work, those that failed lately included. */
+  /** Targets of a service that are not draining, including paused ones. */
   ofService(service: string): ServiceTargets {
-    const known = this.#byService.get(service);
-    if (known !== undefined) return known;
+    const cached = this.#byService.get(service);
+    if (cached !== undefined) return cached;
     const states = [...this.#targets.values()].filter(
       ({ target }) => target.service === service && !target.draining,
     );
@@ -73,14 +73,14 @@
     return targets;
   }
 
-  /** Ages at `now` of the list and of the other gateways' loads; milliseconds. */
+  /** Ages of the target list and of the loads of other gateways at `now`; milliseconds. */
   agesAt(now: number): { readonly list: number; readonly loads: number } {
-    return { list: now - this.#takenAt, loads: now - this.#loadsHeardAt };
+    return { list: now - this.#listUpdatedAt, loads: now - this.#loadsUpdatedAt };
   }
 
-  /** Notes that the other gateways' loads are as of now. */
+  /** Records that the loads of other gateways were updated just now. */
   noteLoads(): void {
-    this.#loadsHeardAt = this.#options.clock.monotonic();
+    this.#loadsUpdatedAt = this.#options.clock.monotonic();
   }
 
   get(id: string): TargetState | undefined {
@@ -91,23 +91,23 @@
     return this.#targets.values();
   }
 
-  /** Told of each target that is listed no more or begins to leave. */
+  /** The listener is called with each target that was removed from the list or starts draining. */
   onLeaving(listener: (state: TargetState) => void): void {
-    this.#removalListeners.push(listener);
+    this.#drainingListeners.push(listener);
   }
 
-  /** Takes a whole list. */
+  /** Replaces the targets by those of a complete list. */
   take(list: readonly ListedTarget[]): void {
     const { clock, logger } = this.#options;
     this.#loaded = true;
-    this.#takenAt = clock.monotonic();
+    this.#listUpdatedAt = clock.monotonic();
     this.#byService.clear();
     const ids = new Set(list.map(({ id }) => id));
     for (const [id, state] of this.#targets) {
       if (ids.has(id)) continue;
       this.#targets.delete(id);
       logger.info({ event: 'target-gone', target: id, address: state.target.address });
-      this.#tellLeaving(state);
+      this.#notifyDraining(state);
     }
     for (const target of list) {
       const state = this.#targets.get(target.id);
@@ -117,37 +117,38 @@
         logger.info({ event: 'target-listed', target: id, service, address, draining });
         continue;
       }
-      const leaves = target.draining && !state.target.draining;
+      const startsDraining = target.draining && !state.target.draining;
       state.target = target;
-      if (!leaves) continue;
+      if (!startsDraining) continue;
       logger.info({ event: 'target-draining', target: target.id, address: target.address });
-      this.#tellLeaving(state);
+      this.#notifyDraining(state);
     }
   }
 
-  #tellLeaving(state: TargetState): void {
-    for (const listener of this.#removalListeners) listener(state);
+  #notifyDraining(state: TargetState): void {
+    for (const listener of this.#drainingListeners) listener(state);
   }
 
   async #run(): Promise<void> {
     const { clock, random } = this.#options;
-    const read = await this.#read();
+    const wasRead = await this.#read();
     if (this.#stopped) return;
-    const pause = read ? READ_MILLISECONDS : RETRY_MILLISECONDS;
-    const spread = SPREAD.least + SPREAD.more * random.fraction();
-    this.#cancel = clock.after(pause * spread, () => void this.#run());
+    const interval = wasRead ? READ_INTERVAL_MILLISECONDS : RETRY_INTERVAL_MILLISECONDS;
+    const jitter = INTERVAL_JITTER.minimum + INTERVAL_JITTER.range * random.fraction();
+    this.#cancelTimer = clock.after(interval * jitter, () => void this.#run());
   }
 
   async #read(): Promise<boolean> {
     const { source, logger } = this.#options;
     try {
       this.take(await source.list());
-      if (!this.#reading) logger.info({ event: 'target-list-regained' });
-      this.#reading = true;
+      if (!this.#isSourceAvailable) logger.info({ event: 'target-list-regained' });
+      this.#isSourceAvailable = true;
       return true;
     } catch (error) {
-      if (this.#reading) logger.warn({ event: 'target-list-lost', error: messageOf(error) });
-      this.#reading = false;
+      if (this.#isSourceAvailable)
+        logger.warn({ event: 'target-list-lost', error: messageOf(error) });
+      this.#isSourceAvailable = false;
       return false;
     }
   }
--- a/src/targets/list-changes.ts
+++ b/src/targets/list-changes.ts
@@ -1,14 +1,14 @@
 import type { ListedTarget } from './target';
 
-/** What turns one list of targets into a later one. */
+/** Difference between two lists of targets. */
 export interface ListChanges {
-  /** Ids of targets that are listed no more. */
+  /** Ids of targets that were removed from the list. */
   readonly gone: readonly string[];
-  /** Targets that are new, or of which something has changed. */
+  /** Targets that were added or modified. */
   readonly changed: readonly ListedTarget[];
 }
 
-/** A list in the order of ids, so that equal lists have equal digests. */
+/** Sorts a list by id, so that equal lists have equal digests. */
 export function sortTargets(list: readonly ListedTarget[]): readonly ListedTarget[] {
   return [...list].sort((left, right) => (left.id < right.id ? -1 : 1));
 }
@@ -17,13 +17,13 @@
   earlier: readonly ListedTarget[],
   later: readonly ListedTarget[],
 ): ListChanges {
-  const before = new Map(earlier.map((target) => [target.id, JSON.stringify(target)]));
-  const changed = later.filter((target) => before.get(target.id) !== JSON.stringify(target));
-  for (const { id } of later) before.delete(id);
-  return { gone: [...before.keys()], changed };
+  const earlierTexts = new Map(earlier.map((target) => [target.id, JSON.stringify(target)]));
+  const changed = later.filter((target) => earlierTexts.get(target.id) !== JSON.stringify(target));
+  for (const { id } of later) earlierTexts.delete(id);
+  return { gone: [...earlierTexts.keys()], changed };
 }
 
-/** The later list, in the order of ids. */
+/** Returns the later list, sorted by id. */
 export function applyChanges(
   earlier: readonly ListedTarget[],
   { gone, changed }: ListChanges,
--- a/src/targets/load-exchange.ts
+++ b/src/targets/load-exchange.ts
@@ -1,45 +1,40 @@
 import type { NodeDirectory, NodeInfo } from '../cluster';
 import type { CancelTimer, Clock, Component, Logger } from '../core';
 import type { Caller, CastHandlers, Contract } from '../link';
-import { pickCoordinator } from './coordinator';
+import { selectCoordinator } from './coordinator';
 import type { TargetDirectory } from './directory';
 
-/** Shortest pause between messages; a turn takes ten times as long. Milliseconds. */
-const SHORTEST_PAUSE_MILLISECONDS = 20;
+/** Minimum interval between reports; short compared with the duration of a turn. */
+const MINIMUM_INTERVAL_MILLISECONDS = 20;
 
-/**
- * Time that each gateway adds to the pause until it is 40 ms, so that the coordinator's messages stay below
- * five hundred a second there. In simulated time 40 ms in place of 20 cost two in a hundred programs of a
- * burst; each message costs five system calls at both ends. Milliseconds.
- */
-const FEW_GATEWAYS = { perGateway: 2, longest: 40 } as const;
+/** Interval per gateway up to a maximum, which bounds the messages of the coordinator. */
+const SMALL_CLUSTER_INTERVAL = { millisecondsPerGateway: 2, maximumMilliseconds: 40 } as const;
 
 /**
- * Time that each gateway adds to the pause of the coordinator, so that its messages do not grow
- * beyond a thousand a second. Milliseconds.
+ * Minimum interval per gateway, which bounds the messages of the coordinator in a large cluster.
  */
-const PAUSE_PER_GATEWAY_MILLISECONDS = 1;
+const INTERVAL_PER_GATEWAY_MILLISECONDS = 1;
 
-/** Pause after which a message is sent although nothing has changed; milliseconds. */
-const UNCHANGED_MILLISECONDS = 200;
+/** Interval after which an unchanged report is sent again. */
+const RESEND_INTERVAL_MILLISECONDS = 200;
 
-/** Time after which what another process said of its load no longer counts; milliseconds. */
-const BELIEF_MILLISECONDS = 1500;
+/** Time after which a received report expires. */
+const REPORT_VALIDITY_MILLISECONDS = 1500;
 
-/** Silence after which a coordinator is passed over, and for how long; milliseconds. */
-const COORDINATOR = { silence: 600, passedOver: 2000 } as const;
+/** Silence after which a coordinator is excluded, and the duration of the exclusion. */
+const COORDINATOR_TIMEOUT = { silenceMilliseconds: 600, exclusionMilliseconds: 2000 } as const;
 
-/** Requests under way, by target. */
+/** Requests in flight, by target id. */
 export type Loads = readonly (readonly [target: string, requests: number])[];
 
-/** Requests of one gateway that are under way. */
+/** Requests in flight from one gateway. */
 export interface LoadReport {
   readonly gateway: string;
   readonly inFlight: Loads;
 }
 
-/** Requests of all other gateways that are under way, as their coordinator knows. */
-export interface ElsewhereReport {
+/** Requests in flight from all gateways other than the receiver, summed by the coordinator. */
+export interface OtherLoadsReport {
   readonly coordinator: string;
   readonly inFlight: Loads;
 }
@@ -48,7 +43,7 @@
   readonly calls: Contract['calls'];
   readonly casts: {
     readonly 'targets.load': LoadReport;
-    readonly 'targets.load-elsewhere': ElsewhereReport;
+    readonly 'targets.load-elsewhere': OtherLoadsReport;
   };
 }
 
@@ -61,35 +56,32 @@
   readonly logger: Logger;
 }
 
-interface HeardReport {
+interface ReceivedReport {
   readonly inFlight: Loads;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** The newest message to one receiver. */
+/** Last report sent to a receiver. */
 interface SentMessage {
   readonly text: string;
-  readonly at: number;
+  readonly sentAt: number;
 }
 
 /**
- * Tells a coordinator what this gateway has under way, and learns from it what all others have. As
- * the coordinator it adds up what gateways say and tells each the sum of the others. Purpose:
- * gateways that know each other's load late choose the same targets: with loads told every 20 ms in
- * place of 250 ms, 3% of the programs that begin in a burst (3.5 times the usual number) end late or
- * fail, in place of 67%. Through a coordinator each gateway has 100 messages a second, however many
- * gateways there are.
+ * Reports the requests in flight from this gateway to a coordinator and receives the sum of all
+ * other gateways. The coordinator sums the reports and sends each gateway the sum of the others.
+ * Without recent loads of each other, gateways would select the same targets at the same time.
  */
 export class LoadExchange implements Component {
   readonly #options: LoadExchangeOptions;
-  /** What each gateway has said, as far as this one coordinates. */
-  readonly #heard = new Map<string, HeardReport>();
-  readonly #sent = new Map<string, SentMessage>();
-  readonly #passedOver = new Map<string, number>();
-  #elsewhere: HeardReport = { inFlight: [], heardAt: -Infinity };
+  /** Latest report of each gateway, while this gateway is the coordinator. */
+  readonly #reports = new Map<string, ReceivedReport>();
+  readonly #lastSent = new Map<string, SentMessage>();
+  readonly #excludedUntil = new Map<string, number>();
+  #otherLoads: ReceivedReport = { inFlight: [], receivedAt: -Infinity };
   #coordinator: string | undefined;
   #coordinatorSince = 0;
-  #cancel: CancelTimer = () => undefined;
+  #cancelTimer: CancelTimer = () => undefined;
 
   constructor(options: LoadExchangeOptions) {
     this.#options = options;
@@ -100,18 +92,18 @@
   }
 
   stop(): void {
-    this.#cancel();
+    this.#cancelTimer();
   }
 
   get casts(): CastHandlers<LoadContract> {
     const { clock } = this.#options;
     return {
       'targets.load': ({ gateway, inFlight }) => {
-        this.#heard.set(gateway, { inFlight, heardAt: clock.monotonic() });
+        this.#reports.set(gateway, { inFlight, receivedAt: clock.monotonic() });
       },
       'targets.load-elsewhere': ({ coordinator, inFlight }) => {
         if (coordinator !== this.#coordinator) return;
-        this.#elsewhere = { inFlight, heardAt: clock.monotonic() };
+        this.#otherLoads = { inFlight, receivedAt: clock.monotonic() };
         this.#apply();
       },
     };
@@ -119,8 +111,8 @@
 
   #schedule(): void {
     const { clock, directory } = this.#options;
-    const pause = pauseFor(directory.ofKind('gateway').length);
-    this.#cancel = clock.after(pause, () => {
+    const interval = intervalFor(directory.ofKind('gateway').length);
+    this.#cancelTimer = clock.after(interval, () => {
       this.#exchange();
       this.#schedule();
     });
@@ -128,41 +120,41 @@
 
   #exchange(): void {
     const { self, clock, peers } = this.#options;
-    const coordinator = this.#pickCoordinator();
+    const coordinator = this.#selectCoordinator();
     const own = this.#ownLoads();
     if (coordinator.name === self.name) {
-      this.#heard.set(self.name, { inFlight: own, heardAt: clock.monotonic() });
-      this.#tellAll();
+      this.#reports.set(self.name, { inFlight: own, receivedAt: clock.monotonic() });
+      this.#reportToGateways();
       return;
     }
-    this.#forgetStale();
-    if (!this.#isNews(coordinator.name, own)) return;
+    this.#expireOtherLoads();
+    if (!this.#needsSending(coordinator.name, own)) return;
     peers.cast(coordinator.address, 'targets.load', { gateway: self.name, inFlight: own });
   }
 
-  #pickCoordinator(): NodeInfo {
+  #selectCoordinator(): NodeInfo {
     const { clock, logger } = this.#options;
     const now = clock.monotonic();
-    this.#passOverSilent(now);
-    const without = new Set<string>();
-    for (const [name, until] of this.#passedOver) if (until > now) without.add(name);
-    const coordinator = pickCoordinator({ ...this.#options, without });
+    this.#excludeSilentCoordinator(now);
+    const excluded = new Set<string>();
+    for (const [name, until] of this.#excludedUntil) if (until > now) excluded.add(name);
+    const coordinator = selectCoordinator({ ...this.#options, excluded });
     if (coordinator.name !== this.#coordinator) {
       logger.info({ event: 'load-coordinator', coordinator: coordinator.name });
       this.#coordinator = coordinator.name;
       this.#coordinatorSince = now;
-      this.#sent.clear();
+      this.#lastSent.clear();
     }
     return coordinator;
   }
 
-  /** A coordinator that is frozen keeps its connection, but tells nothing. */
-  #passOverSilent(now: number): void {
+  /** Excludes a coordinator that sends nothing: a suspended process keeps its connections open. */
+  #excludeSilentCoordinator(now: number): void {
     const { self } = this.#options;
     if (this.#coordinator === undefined || this.#coordinator === self.name) return;
-    const heardAt = Math.max(this.#elsewhere.heardAt, this.#coordinatorSince);
-    if (now - heardAt < COORDINATOR.silence) return;
-    this.#passedOver.set(this.#coordinator, now + COORDINATOR.passedOver);
+    const lastReceivedAt = Math.max(this.#otherLoads.receivedAt, this.#coordinatorSince);
+    if (now - lastReceivedAt < COORDINATOR_TIMEOUT.silenceMilliseconds) return;
+    this.#excludedUntil.set(this.#coordinator, now + COORDINATOR_TIMEOUT.exclusionMilliseconds);
   }
 
   #ownLoads(): Loads {
@@ -173,63 +165,66 @@
     return loads;
   }
 
-  /** Tells each gateway that has spoken lately what all others have under way. */
-  #tellAll(): void {
+  /** Sends each gateway with a valid report the requests in flight from all others. */
+  #reportToGateways(): void {
     const { self, directory, peers, clock } = this.#options;
-    const since = clock.monotonic() - BELIEF_MILLISECONDS;
-    for (const [name, { heardAt }] of this.#heard) {
-      if (heardAt < since) this.#heard.delete(name);
+    const since = clock.monotonic() - REPORT_VALIDITY_MILLISECONDS;
+    for (const [name, { receivedAt }] of this.#reports) {
+      if (receivedAt < since) this.#reports.delete(name);
     }
-    const totals = sumOf([...this.#heard.values()].map(({ inFlight }) => inFlight));
-    for (const [name, { inFlight }] of this.#heard) {
-      const others = without(totals, inFlight);
+    const totals = sumLoads([...this.#reports.values()].map(({ inFlight }) => inFlight));
+    for (const [name, { inFlight }] of this.#reports) {
+      const others = subtractOwn(totals, inFlight);
       if (name === self.name) {
-        this.#elsewhere = { inFlight: others, heardAt: clock.monotonic() };
+        this.#otherLoads = { inFlight: others, receivedAt: clock.monotonic() };
         this.#apply();
         continue;
       }
       const address = directory.get(name)?.node.address;
-      if (address === undefined || !this.#isNews(name, others)) continue;
+      if (address === undefined || !this.#needsSending(name, others)) continue;
       const report = { coordinator: self.name, inFlight: others };
       peers.cast(address, 'targets.load-elsewhere', report);
     }
   }
 
-  /** Whether a receiver has not been told this already; what it was told is repeated at times. */
-  #isNews(receiver: string, loads: Loads): boolean {
+  /** Whether the loads differ from the last report to the receiver, or that report is due again. */
+  #needsSending(receiver: string, loads: Loads): boolean {
     const now = this.#options.clock.monotonic();
     const text = JSON.stringify(loads);
-    const sent = this.#sent.get(receiver);
-    const isOld = sent === undefined || now - sent.at >= UNCHANGED_MILLISECONDS;
-    if (!isOld && sent.text === text) return false;
-    this.#sent.set(receiver, { text, at: now });
+    const sent = this.#lastSent.get(receiver);
+    const isDue = sent === undefined || now - sent.sentAt >= RESEND_INTERVAL_MILLISECONDS;
+    if (!isDue && sent.text === text) return false;
+    this.#lastSent.set(receiver, { text, sentAt: now });
     return true;
   }
 
-  #forgetStale(): void {
-    const age = this.#options.clock.monotonic() - this.#elsewhere.heardAt;
-    if (age < BELIEF_MILLISECONDS || this.#elsewhere.inFlight.length === 0) return;
-    this.#elsewhere = { inFlight: [], heardAt: this.#elsewhere.heardAt };
+  #expireOtherLoads(): void {
+    const age = this.#options.clock.monotonic() - this.#otherLoads.receivedAt;
+    if (age < REPORT_VALIDITY_MILLISECONDS || this.#otherLoads.inFlight.length === 0) return;
+    this.#otherLoads = { inFlight: [], receivedAt: this.#otherLoads.receivedAt };
     this.#apply();
   }
 
   #apply(): void {
     this.#options.targets.noteLoads();
-    const elsewhere = new Map(this.#elsewhere.inFlight);
+    const otherLoads = new Map(this.#otherLoads.inFlight);
     for (const state of this.#options.targets.all()) {
-      state.inFlightElsewhere = elsewhere.get(state.target.id) ?? 0;
+      state.inFlightElsewhere = otherLoads.get(state.target.id) ?? 0;
     }
   }
 }
 
-/** Pause between messages where there are so many gateways; milliseconds. */
-function pauseFor(gateways: number): number {
-  const few = Math.min(gateways * FEW_GATEWAYS.perGateway, FEW_GATEWAYS.longest);
-  const many = gateways * PAUSE_PER_GATEWAY_MILLISECONDS;
-  return Math.max(SHORTEST_PAUSE_MILLISECONDS, few, many);
+/** Interval between reports; milliseconds. */
+function intervalFor(gateways: number): number {
+  const smallClusterInterval = Math.min(
+    gateways * SMALL_CLUSTER_INTERVAL.millisecondsPerGateway,
+    SMALL_CLUSTER_INTERVAL.maximumMilliseconds,
+  );
+  const largeClusterInterval = gateways * INTERVAL_PER_GATEWAY_MILLISECONDS;
+  return Math.max(MINIMUM_INTERVAL_MILLISECONDS, smallClusterInterval, largeClusterInterval);
 }
 
-function sumOf(all: readonly Loads[]): ReadonlyMap<string, number> {
+function sumLoads(all: readonly Loads[]): ReadonlyMap<string, number> {
   const sums = new Map<string, number>();
   for (const loads of all) {
     for (const [target, requests] of loads) sums.set(target, (sums.get(target) ?? 0) + requests);
@@ -237,13 +232,13 @@
   return sums;
 }
 
-/** The totals less one gateway's own part. */
-function without(totals: ReadonlyMap<string, number>, own: Loads): Loads {
-  const parts = new Map(own);
+/** Subtracts the requests of one gateway from the totals. */
+function subtractOwn(totals: ReadonlyMap<string, number>, own: Loads): Loads {
+  const ownRequests = new Map(own);
   const others: (readonly [string, number])[] = [];
   for (const [target, total] of totals) {
-    const rest = total - (parts.get(target) ?? 0);
-    if (rest > 0) others.push([target, rest]);
+    const remaining = total - (ownRequests.get(target) ?? 0);
+    if (remaining > 0) others.push([target, remaining]);
   }
   return others;
 }
--- a/src/targets/part-holders.ts
+++ b/src/targets/part-holders.ts
@@ -1,24 +1,24 @@
-/** Beginnings of prompts that are remembered; the one unused for longest gives way. */
-const BEGINNING_LIMIT = 256;
+/** Prompt prefixes that are kept; the least recently used one is evicted. */
+const PREFIX_LIMIT = 256;
 
-/** Targets remembered for each beginning; a choice weighs no more of them. */
-const HOLDER_LIMIT = 12;
+/** Targets that are kept per prefix. */
+const TARGETS_PER_PREFIX_LIMIT = 12;
 
-/** Which targets have lately read a prompt with a certain first part. */
-export class PartHolders {
-  /** Target ids by the id of the first part, the latest last. */
-  readonly #holders = new Map<string, string[]>();
+/** Finds the targets that recently processed a prompt with a given first part. */
+export class PrefixCacheIndex {
+  /** Target ids by the id of the first part, most recent last. */
+  readonly #targets = new Map<string, string[]>();
 
-  note(firstPart: string, target: string): void {
-    const others = this.of(firstPart).filter((id) => id !== target);
-    this.#holders.delete(firstPart);
-    this.#holders.set(firstPart, [...others.slice(1 - HOLDER_LIMIT), target]);
-    if (this.#holders.size <= BEGINNING_LIMIT) return;
-    const [oldest] = this.#holders.keys();
-    if (oldest !== undefined) this.#holders.delete(oldest);
+  record(firstPart: string, target: string): void {
+    const others = this.targetsFor(firstPart).filter((id) => id !== target);
+    this.#targets.delete(firstPart);
+    this.#targets.set(firstPart, [...others.slice(1 - TARGETS_PER_PREFIX_LIMIT), target]);
+    if (this.#targets.size <= PREFIX_LIMIT) return;
+    const [oldest] = this.#targets.keys();
+    if (oldest !== undefined) this.#targets.delete(oldest);
   }
 
-  of(firstPart: string): readonly string[] {
-    return this.#holders.get(firstPart) ?? [];
+  targetsFor(firstPart: string): readonly string[] {
+    return this.#targets.get(firstPart) ?? [];
   }
 }
--- a/src/targets/service-targets.ts
+++ b/src/targets/service-targets.ts
@@ -1,16 +1,13 @@
 import type { RandomSource } from '../core';
 import type { TargetState } from './state';
 
-/** Targets of one service up to which all are weighed; of more a sample is. */
-export const WEIGHED_LIMIT = 48;
+/** Number of targets up to which all are compared; larger services are sampled. */
+export const UNSAMPLED_LIMIT = 48;
 
-/**
- * Targets that are drawn where not all are weighed, half of them from the own availability zone. The
- * best of 20 is in the least loaded seventh of all with a probability of 0.95.
- */
-const SAMPLE = { near: 10, anywhere: 10 } as const;
+/** Size of the random sample of a large service, by availability zone. */
+const SAMPLE_SIZE = { sameZone: 10, anyZone: 10 } as const;
 
-/** The targets of one service that take new work. */
+/** Targets of one service that are not draining. */
 export class ServiceTargets {
   readonly all: readonly TargetState[];
   readonly #byZone: ReadonlyMap<string, readonly TargetState[]>;
@@ -21,30 +18,34 @@
   }
 
   /**
-   * The targets that a choice weighs: all of a small service; of a large one those that are `known` to
-   * be better than others, and a sample. Purpose: a choice that weighs 1,800 targets takes a
-   * millisecond of processor time, some thirty times as long as one that weighs a sample.
+   * Selects the targets to compare: all of a small service; the `preferred` ones and a random
+   * sample of a large service, which bounds the processor time of a placement.
    */
   select(
-    known: readonly TargetState[],
+    preferred: readonly TargetState[],
     availabilityZone: string,
     random: RandomSource,
   ): readonly TargetState[] {
-    if (this.all.length <= WEIGHED_LIMIT) return this.all;
-    const selected = new Set(known);
-    draw(this.#byZone.get(availabilityZone) ?? [], SAMPLE.near, selected, random);
-    draw(this.all, SAMPLE.anywhere, selected, random);
+    if (this.all.length <= UNSAMPLED_LIMIT) return this.all;
+    const selected = new Set(preferred);
+    addRandomSample(
+      this.#byZone.get(availabilityZone) ?? [],
+      SAMPLE_SIZE.sameZone,
+      selected,
+      random,
+    );
+    addRandomSample(this.all, SAMPLE_SIZE.anyZone, selected, random);
     return [...selected];
   }
 }
 
-function draw(
+function addRandomSample(
   states: readonly TargetState[],
   count: number,
   into: Set<TargetState>,
   random: RandomSource,
 ): void {
-  for (let drawn = 0; drawn < count; drawn += 1) {
+  for (let added = 0; added < count; added += 1) {
     const state = states[Math.floor(random.fraction() * states.length)];
     if (state !== undefined) into.add(state);
   }
--- a/src/targets/state.ts
+++ b/src/targets/state.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../core';
 import {
   type HealthEvent,
-  NEW_TARGET_HEALTH,
+  INITIAL_TARGET_HEALTH,
   type PlacementCandidate,
   failureShareAt,
   isPausedAt,
@@ -9,21 +9,21 @@
 } from '../decisions';
 import type { ListedTarget, PromptPart } from './target';
 
-/** Prompt parts remembered for each engine at most, however few tokens they have. */
-const PART_LIMIT = 4096;
+/** Maximum number of prompt parts that are tracked per engine. */
+const CACHED_PART_LIMIT = 4096;
 
-/** What this process knows of one target. */
+/** State that this process keeps for one target. */
 export class TargetState {
   readonly #clock: Clock;
-  /** Tokens by part, the latest used last. */
+  /** Cached tokens by part id, most recently used last. */
   readonly #parts = new Map<string, number>();
   #partTokens = 0;
   target: ListedTarget;
-  /** Requests of this process that are under way there. */
+  /** Requests of this process. */
   inFlight = 0;
-  /** Requests of other processes that were under way there when they last said so. */
+  /** Requests of the other gateways, as they last reported. */
   inFlightElsewhere = 0;
-  #health = NEW_TARGET_HEALTH;
+  #health = INITIAL_TARGET_HEALTH;
 
   constructor(target: ListedTarget, clock: Clock) {
     this.target = target;
@@ -38,17 +38,16 @@
     return isPausedAt(this.#health, this.#clock.monotonic());
   }
 
-  /** Share of the requests here that failed lately, 0 to 1; what is long ago counts less. */
+  /** Decaying share of failed requests, 0 to 1. */
   get failureShare(): number {
     return failureShareAt(this.#health, this.#clock.monotonic());
   }
 
-  /** Notes what the outcome of a request says of the target. */
   note(event: HealthEvent): void {
     this.#health = nextHealth(this.#health, event, this.#clock.monotonic());
   }
 
-  /** What is known of the target at `now`, for the placement of a prompt with these parts. */
+  /** Describes the target at `now` for the placement of a prompt with these parts. */
   candidateAt(now: number, parts: readonly PromptPart[]): PlacementCandidate {
     return {
       id: this.target.id,
@@ -57,40 +56,44 @@
       load: this.load,
       failureShare: failureShareAt(this.#health, now),
       isPaused: isPausedAt(this.#health, now),
-      heldTokens: parts.length === 0 ? 0 : this.heldTokens(parts),
+      cachedTokens: parts.length === 0 ? 0 : this.cachedTokens(parts),
     };
   }
 
   /**
-   * Notes what the engine has read, and generated behind the last part. Parts that were unused for
-   * longest are forgotten where the engine's memory, in tokens, can't hold them any more.
+   * Records the parts in the engine's cache; generated tokens extend the last part. The least
+   * recently used parts are evicted when they exceed the capacity of the cache, in tokens.
    */
-  noteParts(parts: readonly PromptPart[], generatedTokens: number, memoryTokens: number): void {
+  noteParts(
+    parts: readonly PromptPart[],
+    generatedTokens: number,
+    cacheCapacityTokens: number,
+  ): void {
     parts.forEach(({ id, tokens }, index) => {
-      this.#forget(id);
-      const held = index === parts.length - 1 ? tokens + generatedTokens : tokens;
-      this.#parts.set(id, held);
-      this.#partTokens += held;
+      this.#evict(id);
+      const cachedTokens = index === parts.length - 1 ? tokens + generatedTokens : tokens;
+      this.#parts.set(id, cachedTokens);
+      this.#partTokens += cachedTokens;
     });
     for (const id of this.#parts.keys()) {
-      if (this.#partTokens <= memoryTokens && this.#parts.size <= PART_LIMIT) break;
-      this.#forget(id);
+      if (this.#partTokens <= cacheCapacityTokens && this.#parts.size <= CACHED_PART_LIMIT) break;
+      this.#evict(id);
     }
   }
 
-  #forget(id: string): void {
+  #evict(id: string): void {
     this.#partTokens -= this.#parts.get(id) ?? 0;
     this.#parts.delete(id);
   }
 
-  /** Tokens of a prompt that the engine has read before, from its beginning on. */
-  heldTokens(parts: readonly PromptPart[]): number {
-    let held = 0;
+  /** Length of the prompt's cached prefix; tokens. */
+  cachedTokens(parts: readonly PromptPart[]): number {
+    let prefixTokens = 0;
     for (const { id, tokens } of parts) {
-      const known = Math.min(this.#parts.get(id) ?? 0, tokens);
-      held += known;
-      if (known < tokens) break;
+      const cachedTokens = Math.min(this.#parts.get(id) ?? 0, tokens);
+      prefixTokens += cachedTokens;
+      if (cachedTokens < tokens) break;
     }
-    return held;
+    return prefixTokens;
   }
 }
--- a/src/targets/target.ts
+++ b/src/targets/target.ts
@@ -1,26 +1,23 @@
 /** A server as the platform lists it. */
 export interface ListedTarget {
-  /** One life of the server; another one after each start. */
+  /** Identifies one run of the server; changes at each start. */
   readonly id: string;
   readonly service: string;
-  /** IP:port; may be given to another server after this one has ended. */
+  /** IP:port; may be reassigned to another server after this one has stopped. */
   readonly address: string;
   readonly availabilityZone: string;
   readonly slots: number;
-  /** Whether it is about to leave and takes no new work. */
+  /** Whether the server is shutting down and accepts no new requests. */
   readonly draining: boolean;
 }
 
 /** Reads the platform's list of servers. */
 export interface TargetSource {
-  /** Resolves with the whole list; rejects if it can't be read now. */
+  /** Resolves with the complete list; rejects if it can't be read. */
   list(): Promise<readonly ListedTarget[]>;
 }
 
-/**
- * A part of a prompt, in the order of the prompt. The last one belongs to a conversation and grows
- * with each turn.
- */
+/** A segment of a prompt. The last one belongs to the conversation and grows with each turn. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
--- a/src/targets/tests/chooser.test.ts
+++ b/src/targets/tests/chooser.test.ts
@@ -5,33 +5,33 @@
 
 const CLOCK = new ManualClock();
 const RANDOM = new SeededRandom(1);
-const MEMORY_TOKENS = 200_000;
-const PLACERS = createPlacers(ALL_DECISIONS);
+const CACHE_TOKENS = 200_000;
+const POLICIES = createPlacers(ALL_DECISIONS);
 
 function target(id: string, availabilityZone = 'a', slots = 6): TargetState {
   const listed = { id, service: 's', address: '10.0.0.1:80', availabilityZone, slots };
   return new TargetState({ ...listed, draining: false }, CLOCK);
 }
 
-function request(facts: Partial<PlacementRequest>): PlacementRequest {
-  return { parts: [], promptTokens: 0, lastTarget: undefined, heldTokens: 0, ...facts };
+function request(overrides: Partial<PlacementRequest>): PlacementRequest {
+  return { parts: [], promptTokens: 0, lastTarget: undefined, heldTokens: 0, ...overrides };
 }
 
-/** Chooses among targets, as a gateway in zone `a` does. */
-class TestPlacer {
+/** Applies a placement policy to targets on behalf of a gateway in availability zone `a`. */
+class TestPlacement {
   readonly #kind: 'engine' | 'slot';
 
   constructor(kind: 'engine' | 'slot') {
     this.#kind = kind;
   }
 
-  place(states: readonly TargetState[], { parts, ...facts }: PlacementRequest) {
-    const decision = PLACERS[this.#kind].place(
+  place(states: readonly TargetState[], { parts, ...prompt }: PlacementRequest) {
+    const decision = POLICIES[this.#kind].place(
       {
         availabilityZone: 'a',
-        promptTokens: facts.promptTokens,
-        lastTarget: facts.lastTarget,
-        lastHeldTokens: facts.heldTokens,
+        promptTokens: prompt.promptTokens,
+        lastTarget: prompt.lastTarget,
+        lastTargetCachedTokens: prompt.heldTokens,
         candidates: states.map((state) => state.candidateAt(CLOCK.monotonic(), parts)),
       },
       RANDOM,
@@ -41,83 +41,89 @@
   }
 }
 
-describe('the choice of an engine', () => {
-  const placer = new TestPlacer('engine');
+describe('placement of a turn on an engine', () => {
+  const placement = new TestPlacement('engine');
 
   describe('for a conversation whose last part grows', () => {
-    const said = [
+    const earlierParts = [
       { id: 'shared', tokens: 2500 },
       { id: 'own', tokens: 1200 },
     ];
-    const grown = [
+    const laterParts = [
       { id: 'shared', tokens: 2500 },
       { id: 'own', tokens: 2900 },
     ];
 
-    it('counts what the engine read of it, and what it generated', () => {
+    it('counts cached prompt tokens and generated tokens as cached', () => {
       const state = target('e1');
-      state.noteParts(said, 30, MEMORY_TOKENS);
-      expect(state.heldTokens(grown)).toBe(2500 + 1230);
+      state.noteParts(earlierParts, 30, CACHE_TOKENS);
+      expect(state.cachedTokens(laterParts)).toBe(2500 + 1230);
     });
 
-    it('forgets what the engine has no memory for, the part unused for longest first', () => {
+    it('evicts the least recently used part when the cache capacity is exceeded', () => {
       const state = target('e1');
       state.noteParts([{ id: 'old', tokens: 2000 }], 0, 4000);
-      state.noteParts(said, 30, 4000);
-      state.noteParts(said, 30, 4000);
-      expect(state.heldTokens([{ id: 'old', tokens: 2000 }])).toBe(0);
-      expect(state.heldTokens(said)).toBe(3700);
+      state.noteParts(earlierParts, 30, 4000);
+      state.noteParts(earlierParts, 30, 4000);
+      expect(state.cachedTokens([{ id: 'old', tokens: 2000 }])).toBe(0);
+      expect(state.cachedTokens(earlierParts)).toBe(3700);
     });
 
-    it('stays with the engine that holds it, though others are idle', () => {
-      const holding = target('e1');
+    it('prefers the engine that caches the conversation over an idle one', () => {
+      const caching = target('e1');
       const idle = target('e2');
-      idle.noteParts(said.slice(0, 1), 0, MEMORY_TOKENS);
-      holding.noteParts(said, 30, MEMORY_TOKENS);
-      holding.inFlight = 5;
-      const placed = placer.place([idle, holding], request({ parts: grown, promptTokens: 5400 }));
-      expect(placed?.state).toBe(holding);
+      idle.noteParts(earlierParts.slice(0, 1), 0, CACHE_TOKENS);
+      caching.noteParts(earlierParts, 30, CACHE_TOKENS);
+      caching.inFlight = 5;
+      const placed = placement.place(
+        [idle, caching],
+        request({ parts: laterParts, promptTokens: 5400 }),
+      );
+      expect(placed?.state).toBe(caching);
     });
 
-    it('follows what another gateway has noted of it', () => {
+    it('selects the last target although only another gateway has sent to it', () => {
       const states = [target('e1'), target('e2'), target('e3')];
-      const known = { lastTarget: 'e3', heldTokens: 3730 };
-      const placed = placer.place(states, request({ parts: grown, promptTokens: 5400, ...known }));
+      const lastTurn = { lastTarget: 'e3', heldTokens: 3730 };
+      const placed = placement.place(
+        states,
+        request({ parts: laterParts, promptTokens: 5400, ...lastTurn }),
+      );
       expect(placed?.state.target.id).toBe('e3');
     });
 
-    it('leaves an engine whose company costs more than reading it again', () => {
-      const holding = target('e1');
-      holding.noteParts(said, 30, MEMORY_TOKENS);
-      holding.inFlightElsewhere = 60;
-      const placed = placer.place(
-        [holding, target('e2')],
-        request({ parts: grown, promptTokens: 5400 }),
+    it('selects another engine when contention costs more than the prefill', () => {
+      const caching = target('e1');
+      caching.noteParts(earlierParts, 30, CACHE_TOKENS);
+      caching.inFlightElsewhere = 60;
+      const placed = placement.place(
+        [caching, target('e2')],
+        request({ parts: laterParts, promptTokens: 5400 }),
       );
       expect(placed?.state.target.id).toBe('e2');
     });
   });
 });
 
-describe('the choice of a plain server', () => {
-  const placer = new TestPlacer('slot');
+describe('placement on a service with slots', () => {
+  const placement = new TestPlacement('slot');
 
-  it('goes to the freest, the near one first', () => {
+  it('selects the target with the largest share of free slots, in the same zone first', () => {
     const busy = target('p1');
     busy.inFlight = 3;
     const states = [busy, target('p2', 'b'), target('p3')];
-    expect(placer.place(states, request({}))?.state.target.id).toBe('p3');
+    expect(placement.place(states, request({}))?.state.target.id).toBe('p3');
   });
 
-  it('passes over those that failed lately, unless all did', () => {
-    const failed = target('p1');
-    failed.note('unreachable');
-    const sound = target('p2', 'b');
-    expect(placer.place([failed, sound], request({}))?.state).toBe(sound);
-    expect(placer.place([failed], request({}))?.state).toBe(failed);
+  it('excludes an unreachable target unless all are unreachable', () => {
+    const paused = target('p1');
+    paused.note('unreachable');
+    const reachable = target('p2', 'b');
+    expect(placement.place([paused, reachable], request({}))?.state).toBe(reachable);
+    expect(placement.place([paused], request({}))?.state).toBe(paused);
   });
 
-  it('prefers one that does not fail over a freer one that does, and forgives in time', () => {
+  it('avoids a failing target with more free slots until its failure share has decayed', () => {
     const failing = target('p1');
     const busy = target('p2');
     busy.inFlight = 4;
@@ -126,26 +132,26 @@
       failing.note('answered');
       failing.note('answered-with-error');
     }
-    expect(placer.place([failing, busy], request({}))?.state).toBe(busy);
+    expect(placement.place([failing, busy], request({}))?.state).toBe(busy);
     CLOCK.advance(20_000);
-    expect(placer.place([failing, busy], request({}))?.state).toBe(failing);
+    expect(placement.place([failing, busy], request({}))?.state).toBe(failing);
   });
 
-  it('passes over one whose address belongs to another for ever', () => {
-    const gone = target('p1');
-    gone.note('address-reused');
-    gone.note('answered');
-    gone.note('unreachable');
+  it('keeps a target paused whose address belongs to another server', () => {
+    const replaced = target('p1');
+    replaced.note('address-reused');
+    replaced.note('answered');
+    replaced.note('unreachable');
     CLOCK.advance(60_000);
-    expect(gone.isPaused).toBe(true);
+    expect(replaced.isPaused).toBe(true);
   });
 });
 
-describe('a service with more targets than are weighed', () => {
+describe('placement on a service that is large enough to be sampled', () => {
   function largeService(count: number) {
-    const parts = { clock: CLOCK, random: new SeededRandom(7) };
+    const shared = { clock: CLOCK, random: new SeededRandom(7) };
     const targets = new TargetDirectory({
-      ...parts,
+      ...shared,
       logger: createSilentLogger(),
       source: { list: () => Promise.resolve([]) },
     });
@@ -158,12 +164,12 @@
         availabilityZone: `zone-${index % 9}`,
       })),
     );
-    const chooser = new TargetChooser({ ...parts, targets, availabilityZone: 'zone-1' });
-    const choose = (facts: Partial<PlacementRequest> = {}, tried: readonly string[] = []) =>
+    const chooser = new TargetChooser({ ...shared, targets, availabilityZone: 'zone-1' });
+    const choose = (overrides: Partial<PlacementRequest> = {}, tried: readonly string[] = []) =>
       chooser.choose({
         service: 's',
-        placer: PLACERS.engine,
-        placement: request(facts),
+        placer: POLICIES.engine,
+        placement: request(overrides),
         tried: new Set(tried),
         connectionLimit: 10,
       });
@@ -178,35 +184,35 @@
     promptTokens: 4500,
   };
 
-  it('weighs a bounded number of them', () => {
+  it('compares a bounded number of targets', () => {
     const { choose } = largeService(1800);
     expect(choose(prompt)?.candidates).toBeLessThanOrEqual(48);
   });
 
-  it('finds the engine of the last turn', () => {
+  it('finds the engine of the previous turn', () => {
     const { choose } = largeService(1800);
     const placed = choose({ ...prompt, lastTarget: 't1717', heldTokens: 4400 });
     expect(placed?.state.target.id).toBe('t1717');
   });
 
-  it('finds an engine that has read the beginning of the prompt', () => {
+  it('finds an engine that caches the first part of the prompt', () => {
     const { targets, chooser, choose } = largeService(1800);
-    const holding = targets.get('t900');
-    if (holding === undefined) throw new Error('not listed');
-    chooser.noteParts(holding, prompt.parts, 0, MEMORY_TOKENS);
-    expect(choose(prompt)?.state).toBe(holding);
+    const caching = targets.get('t900');
+    if (caching === undefined) throw new Error('test target is not in the directory');
+    chooser.noteParts(caching, prompt.parts, 0, CACHE_TOKENS);
+    expect(choose(prompt)?.state).toBe(caching);
   });
 
-  it('looks at all where none of the sample may be used', () => {
+  it('compares all targets when no target of the sample is available', () => {
     const { targets, choose } = largeService(1800);
     for (const state of targets.all()) state.inFlight = 10;
     const free = targets.get('t5');
-    if (free === undefined) throw new Error('not listed');
+    if (free === undefined) throw new Error('test target is not in the directory');
     free.inFlight = 0;
     expect(choose(prompt)?.state).toBe(free);
   });
 
-  it('takes what is free in a burst of calls, though it sees a sample only', () => {
+  it('does not exceed the slots of any target in a burst of calls', () => {
     const { targets, choose } = largeService(200);
     for (let call = 0; call < 600; call += 1) {
       const placed = choose();
--- a/src/targets/tests/list-changes.test.ts
+++ b/src/targets/tests/list-changes.test.ts
@@ -13,8 +13,8 @@
 
 const lists = fc.uniqueArray(listed, { selector: ({ id }) => id }).map(sortTargets);
 
-describe('the changes between two lists of targets', () => {
-  it('turn the earlier list into the later one, whatever both are', () => {
+describe('changesBetween', () => {
+  it('yields changes that turn any list into any other', () => {
     fc.assert(
       fc.property(lists, lists, (earlier, later) => {
         expect(applyChanges(earlier, changesBetween(earlier, later))).toEqual(later);
@@ -22,7 +22,7 @@
     );
   });
 
-  it('are none between equal lists', () => {
+  it('yields no changes between equal lists', () => {
     fc.assert(
       fc.property(lists, (list) => {
         expect(changesBetween(list, list)).toEqual({ gone: [], changed: [] });
--- a/src/targets/tests/load-exchange.test.ts
+++ b/src/targets/tests/load-exchange.test.ts
@@ -4,10 +4,10 @@
 import type { LoadContract } from '..';
 import { LoadExchange, TargetDirectory } from '..';
 
-/** Gateways in one process, whose messages arrive at once unless their receiver is frozen. */
+/** Gateways in one process; messages arrive immediately unless sender or receiver is suspended. */
 class GatewayGroup {
   readonly clock = new ManualClock();
-  readonly frozen = new Set<string>();
+  readonly suspended = new Set<string>();
   readonly #gateways = new Map<string, { targets: TargetDirectory; loads: LoadExchange }>();
   messages = 0;
 
@@ -18,11 +18,11 @@
 
   #add(self: NodeInfo, nodes: readonly NodeInfo[]): void {
     const { clock } = this;
-    const parts = { clock, logger: createSilentLogger(), metrics: new Metrics() };
+    const shared = { clock, logger: createSilentLogger(), metrics: new Metrics() };
     const directory = new NodeDirectory(clock);
     for (const node of nodes) directory.learn(node);
     const source = { list: () => Promise.resolve([]) };
-    const targets = new TargetDirectory({ ...parts, source, random: new SeededRandom(1) });
+    const targets = new TargetDirectory({ ...shared, source, random: new SeededRandom(1) });
     targets.take([
       { id: 't', service: 's', address: 't', availabilityZone: 'a', slots: 8, draining: false },
     ]);
@@ -32,11 +32,11 @@
       body: LoadContract['casts'][Name],
     ) => {
       this.messages += 1;
-      if (this.frozen.has(to) || this.frozen.has(self.name)) return;
+      if (this.suspended.has(to) || this.suspended.has(self.name)) return;
       this.#gateways.get(to)?.loads.casts[name]?.(body);
     };
     const peers = { cast, isConnected: () => true };
-    const loads = new LoadExchange({ ...parts, self, directory, targets, peers });
+    const loads = new LoadExchange({ ...shared, self, directory, targets, peers });
     this.#gateways.set(self.name, { targets, loads });
   }
 
@@ -53,7 +53,7 @@
     if (state !== undefined) state.inFlight = requests;
   }
 
-  loadElsewhere(gateway: string): number | undefined {
+  loadFromOthers(gateway: string): number | undefined {
     return this.#gateways.get(gateway)?.targets.get('t')?.inFlightElsewhere;
   }
 }
@@ -70,7 +70,7 @@
   };
 }
 
-describe('loads that gateways tell through a coordinator', () => {
+describe('load exchange through a coordinator', () => {
   let group: GatewayGroup;
 
   beforeEach(() => {
@@ -87,36 +87,36 @@
     group.stop();
   });
 
-  const elsewhere = () => ['a', 'b', 'c', 'd'].map((name) => group.loadElsewhere(name));
+  const loadsFromOthers = () => ['a', 'b', 'c', 'd'].map((name) => group.loadFromOthers(name));
 
-  it('reach each gateway within two pauses, as the sum of all others', () => {
-    expect(elsewhere()).toEqual([9, 8, 7, 6]);
+  it('sends each gateway the sum of all others within two intervals', () => {
+    expect(loadsFromOthers()).toEqual([9, 8, 7, 6]);
   });
 
-  it('follow what changes', () => {
+  it('sends changed loads', () => {
     group.setLoad('d', 0);
     group.clock.advance(50);
-    expect(elsewhere()).toEqual([5, 4, 3, 6]);
+    expect(loadsFromOthers()).toEqual([5, 4, 3, 6]);
   });
 
-  it('cost few messages while nothing changes', () => {
+  it('sends few messages while the loads are unchanged', () => {
     group.messages = 0;
     group.clock.advance(1000);
-    // Three gateways and their coordinator repeat what they said five times.
+    // Three gateways and the coordinator resend their reports five times.
     expect(group.messages).toBeLessThanOrEqual(30);
   });
 
-  it('go through the next gateway soon where the coordinator is frozen', () => {
-    group.frozen.add('a');
+  it('switches to the next gateway when the coordinator is suspended', () => {
+    group.suspended.add('a');
     group.setLoad('d', 7);
     group.clock.advance(1000);
-    expect(group.loadElsewhere('b')).toBe(10);
-    expect(group.loadElsewhere('d')).toBe(5);
+    expect(group.loadFromOthers('b')).toBe(10);
+    expect(group.loadFromOthers('d')).toBe(5);
   });
 
-  it('of a gateway that is silent for long count no more', () => {
-    group.frozen.add('d');
+  it('expires the loads of a silent gateway', () => {
+    group.suspended.add('d');
     group.clock.advance(2000);
-    expect(group.loadElsewhere('b')).toBe(4);
+    expect(group.loadFromOthers('b')).toBe(4);
   });
 });
--- a/src/targets/tests/shared-source.test.ts
+++ b/src/targets/tests/shared-source.test.ts
@@ -14,7 +14,7 @@
   draining: false,
 };
 
-/** Gateways whose names begin with k keep the cluster's state. */
+/** Gateways whose names begin with k keep the cluster state. */
 function gateway(name: string): NodeInfo {
   return {
     name,
@@ -27,14 +27,15 @@
   };
 }
 
-/** Gateways with one clock that know of one another, before one list of the platform. */
+/** Gateways that share a clock and a platform list and know each other. */
 class Gateways {
   readonly clock = new ManualClock();
-  readonly readings: string[] = [];
-  /** Gateways that answer nobody. */
+  /** Names of the gateways that read the platform's list, in order. */
+  readonly reads: string[] = [];
+  /** Gateways that do not answer calls. */
   readonly silent = new Set<string>();
-  /** Gateways to which no connection stands. */
-  readonly lost = new Set<string>();
+  /** Gateways that nobody is connected to. */
+  readonly disconnected = new Set<string>();
   list: readonly ListedTarget[] = [LISTED];
   readonly answers: TargetListAnswer[] = [];
   readonly #sources = new Map<string, SharedTargetSource>();
@@ -51,7 +52,7 @@
         directory,
         source: {
           list: () => {
-            this.readings.push(name);
+            this.reads.push(name);
             return Promise.resolve(this.list);
           },
         },
@@ -63,11 +64,11 @@
       });
       this.#sources.set(name, source);
     }
-    this.greet();
+    this.refreshDirectories();
   }
 
-  /** All know of all by hearsay, as those do who are greeted by nobody. */
-  greet(): void {
+  /** Adds each gateway to the directory of all others, where entries expire. */
+  refreshDirectories(): void {
     for (const directory of this.#directories) {
       for (const name of this.#names) directory.learn(gateway(name));
     }
@@ -75,13 +76,13 @@
 
   source(name: string): SharedTargetSource {
     const source = this.#sources.get(name);
-    if (source === undefined) throw new Error(`no gateway ${name}`);
+    if (source === undefined) throw new Error(`unknown test gateway: ${name}`);
     return source;
   }
 
   get #caller(): Pick<Caller<TargetListContract>, 'call' | 'isConnected'> {
     return {
-      isConnected: (address) => !this.lost.has(address),
+      isConnected: (address) => !this.disconnected.has(address),
       call: (address, name, request) => {
         const handler = this.source(address).calls[name];
         if (this.silent.has(address) || handler === undefined) {
@@ -95,16 +96,16 @@
   }
 }
 
-describe('the list of targets that gateways share', () => {
-  it('is read by the first of them alone, and told to the others', async () => {
+describe('shared target list', () => {
+  it('is read by the first gateway only and sent to the others', async () => {
     const gateways = new Gateways(['k1', 'k2', 'g3']);
     for (const name of ['k1', 'k2', 'g3', 'k2']) {
       expect(await gateways.source(name).list()).toEqual([LISTED]);
     }
-    expect(gateways.readings).toEqual(['k1']);
+    expect(gateways.reads).toEqual(['k1']);
   });
 
-  it('is told again once it has changed', async () => {
+  it('is sent to the others after a change', async () => {
     const gateways = new Gateways(['k1', 'k2']);
     await gateways.source('k1').list();
     await gateways.source('k2').list();
@@ -112,29 +113,29 @@
     gateways.clock.advance(700);
     await gateways.source('k1').list();
     expect(await gateways.source('k2').list()).toEqual(gateways.list);
-    expect(gateways.readings).toEqual(['k1', 'k1']);
+    expect(gateways.reads).toEqual(['k1', 'k1']);
   });
 
-  it('is told as what has changed to those who hold an earlier one', async () => {
+  it('is sent as changes to a gateway that has a previous list', async () => {
     const gateways = new Gateways(['k1', 'k2']);
     const others = ['t2', 't3'].map((id) => ({ ...LISTED, id }));
     gateways.list = [...others, LISTED];
     await gateways.source('k1').list();
     await gateways.source('k2').list();
-    const leaving = { ...LISTED, draining: true };
-    gateways.list = [leaving, ...others.slice(1)];
+    const draining = { ...LISTED, draining: true };
+    gateways.list = [draining, ...others.slice(1)];
     gateways.clock.advance(700);
     await gateways.source('k1').list();
-    const taken = await gateways.source('k2').list();
-    expect(taken).toEqual([leaving, { ...LISTED, id: 't3' }]);
+    const received = await gateways.source('k2').list();
+    expect(received).toEqual([draining, { ...LISTED, id: 't3' }]);
     expect(gateways.answers.at(-1)).toMatchObject({
       kind: 'changes',
-      changes: { gone: ['t2'], changed: [leaving] },
+      changes: { gone: ['t2'], changed: [draining] },
     });
-    expect(gateways.readings).toEqual(['k1', 'k1']);
+    expect(gateways.reads).toEqual(['k1', 'k1']);
   });
 
-  it('is told whole to those who hold one that is long gone', async () => {
+  it('is sent completely to a gateway whose list is no longer kept', async () => {
     const gateways = new Gateways(['k1', 'k2']);
     await gateways.source('k1').list();
     await gateways.source('k2').list();
@@ -147,27 +148,27 @@
     expect(gateways.answers.at(-1)).toMatchObject({ kind: 'list' });
   });
 
-  it('is read by each for itself where the first does not answer', async () => {
+  it('is read by a gateway itself when the first does not answer', async () => {
     const gateways = new Gateways(['k1', 'k2']);
     gateways.silent.add('k1');
     expect(await gateways.source('k2').list()).toEqual([LISTED]);
-    expect(gateways.readings).toEqual(['k2']);
+    expect(gateways.reads).toEqual(['k2']);
   });
 
-  it('is not taken from one that has stopped reading', async () => {
+  it('is not accepted from a gateway whose list is outdated', async () => {
     const gateways = new Gateways(['k1', 'k2']);
     await gateways.source('k1').list();
     gateways.clock.advance(1500);
-    gateways.greet();
+    gateways.refreshDirectories();
     await gateways.source('k2').list();
-    expect(gateways.readings).toEqual(['k1', 'k2']);
+    expect(gateways.reads).toEqual(['k1', 'k2']);
   });
 
-  it('counts the time that others have held it', async () => {
+  it('reports an age that includes the time at other gateways', async () => {
     const gateways = new Gateways(['k1', 'k2', 'g3']);
     await gateways.source('k1').list();
     gateways.clock.advance(800);
-    gateways.greet();
+    gateways.refreshDirectories();
     await gateways.source('k2').list();
     gateways.silent.add('k1');
     gateways.clock.advance(800);
@@ -175,30 +176,30 @@
     expect(answer).toMatchObject({ kind: 'list', ageMilliseconds: 1600 });
   });
 
-  it('is read by the next one while the connection to the first is lost', async () => {
+  it('is read by the next gateway while the first is disconnected', async () => {
     const gateways = new Gateways(['k1', 'k2', 'g3']);
-    gateways.lost.add('k1');
+    gateways.disconnected.add('k1');
     for (const name of ['k2', 'g3']) expect(await gateways.source(name).list()).toEqual([LISTED]);
-    expect(gateways.readings).toEqual(['k2']);
+    expect(gateways.reads).toEqual(['k2']);
   });
 
-  it('is not read for all by a gateway to which others need have no connection', async () => {
+  it('is not read by a gateway that does not keep the cluster state', async () => {
     const gateways = new Gateways(['g0', 'k1']);
     await gateways.source('k1').list();
     await gateways.source('g0').list();
-    expect(gateways.readings).toEqual(['k1']);
+    expect(gateways.reads).toEqual(['k1']);
   });
 
-  it('is read within the rate of all while all read for themselves', async () => {
+  it('is read within the shared rate limit while each gateway reads for itself', async () => {
     const gateways = new Gateways(['k1', 'k2', 'g3'], 5);
     gateways.silent.add('k1');
     await gateways.source('k2').list();
     gateways.clock.advance(900);
-    gateways.greet();
+    gateways.refreshDirectories();
     await gateways.source('k2').list();
-    expect(gateways.readings).toEqual(['k2']);
+    expect(gateways.reads).toEqual(['k2']);
     gateways.clock.advance(200);
     await gateways.source('k2').list();
-    expect(gateways.readings).toEqual(['k2', 'k2']);
+    expect(gateways.reads).toEqual(['k2', 'k2']);
   });
 });
--- a/src/targets/undici-client.d.ts
+++ b/src/targets/undici-client.d.ts
@@ -1,4 +1,4 @@
-/** The client alone, so that a process loads neither fetch nor WebSockets with it. */
+/** Importing only the client avoids loading fetch and WebSocket. */
 declare module 'undici/lib/dispatcher/client.js' {
   import { Client } from 'undici';
 
--- a/src/targets/usual-durations.ts
+++ b/src/targets/usual-durations.ts
@@ -1,21 +1,18 @@
-/** Time that a request takes until some were seen: six places of 0.1 s each. Milliseconds. */
-const UNSEEN_MILLISECONDS = 600;
+/** Initial average of a service. */
+const DEFAULT_DURATION_MILLISECONDS = 600;
 
-/** Weight of the newest request; some twenty make the usual time. */
-const NEWEST_WEIGHT = 0.05;
+const LATEST_DURATION_WEIGHT = 0.05;
 
-/** How long answered requests of each service usually take, learned from the latest. */
+/** Exponential moving average of the duration of each service's requests. */
 export class UsualDurations {
   readonly #services = new Map<string, number>();
 
-  /** Notes how long an answered request took; milliseconds. */
   note(service: string, milliseconds: number): void {
-    const usual = this.of(service);
-    this.#services.set(service, usual + (milliseconds - usual) * NEWEST_WEIGHT);
+    const average = this.of(service);
+    this.#services.set(service, average + (milliseconds - average) * LATEST_DURATION_WEIGHT);
   }
 
-  /** Milliseconds. */
   of(service: string): number {
-    return this.#services.get(service) ?? UNSEEN_MILLISECONDS;
+    return this.#services.get(service) ?? DEFAULT_DURATION_MILLISECONDS;
   }
 }
