--- a/src/targets/tests/chooser.test.ts
+++ b/src/targets/tests/chooser.test.ts
@@ -84,7 +84,7 @@
 
     it('selects the last target although only another gateway has sent to it', () => {
       const states = [target('e1'), target('e2'), target('e3')];
-      const lastTurn = { lastTarget: 'e3', heldTokens: 3730 };
+      const lastTurn: Partial<PlacementRequest> = { lastTarget: 'e3', heldTokens: 3730 };
       const placed = placement.place(
         states,
         request({ parts: laterParts, promptTokens: 5400, ...lastTurn }),
