--- a/src/replication/ballot.ts
+++ b/src/replication/ballot.ts
@@ -3,16 +3,16 @@
 import type { HardState, VoteAnswer, VoteRequest } from './messages';
 import type { Outbox } from './outbox';
 
-/** How a member stands for election. */
-export interface Candidacy {
-  /** Asks whether a vote would be granted, without any member changing its term. */
+/** The kind of campaign that a vote request belongs to. */
+export interface CampaignKind {
+  /** Asks whether a vote would be granted; no member changes its term. */
   readonly preVote: boolean;
-  /** The leader asked for this election. */
+  /** Requested by the present leader as a leadership transfer. */
   readonly transfer: boolean;
 }
 
-/** A member's term, the vote it gave there and the votes it got. */
-export class Ballot {
+/** A member's term, its vote in that term and the votes it received. */
+export class ElectionState {
   readonly #self: string;
   readonly #outbox: Outbox;
   readonly #votes = new Set<string>();
@@ -34,20 +34,24 @@
     return { term: this.#term, votedFor: this.#votedFor };
   }
 
-  /** Enters a term that another member is in, where no vote was given yet. */
-  enter(term: number): void {
+  /** Moves to a newer term and clears the vote; does nothing for an older or equal term. */
+  advanceToTerm(term: number): void {
     if (term <= this.#term) return;
     this.#term = term;
     this.#votedFor = undefined;
-    this.#outbox.hardStateChanged();
+    this.#outbox.markHardStateChanged();
   }
 
-  /** Stands for election and asks the other voters, telling where the own log ends. */
-  stand({ preVote, transfer }: Candidacy, voters: readonly string[], logEnd: LogPosition): void {
+  /** Starts a campaign: votes for itself and requests the votes of the other voters. */
+  requestVotes(
+    { preVote, transfer }: CampaignKind,
+    voters: readonly string[],
+    logEnd: LogPosition,
+  ): void {
     this.#votes.clear();
     this.#votes.add(this.#self);
     if (!preVote) {
-      this.enter(this.#term + 1);
+      this.advanceToTerm(this.#term + 1);
       this.#votedFor = this.#self;
     }
     for (const peer of voters) {
@@ -64,28 +68,28 @@
     }
   }
 
-  /** Takes an answer to what this member last asked. */
-  take(answer: VoteAnswer): void {
+  /** Counts a vote granted for the current campaign; ignores answers of other terms. */
+  recordAnswer(answer: VoteAnswer): void {
     const term = answer.preVote ? this.#term + 1 : this.#term;
     if (answer.granted && answer.term === term) this.#votes.add(answer.from);
   }
 
   isWon(membership: Membership): boolean {
-    const votes = membership.voters.filter((voter) => this.#votes.has(voter));
-    return votes.length >= quorumOf(membership);
+    const granted = membership.voters.filter((voter) => this.#votes.has(voter));
+    return granted.length >= quorumOf(membership);
   }
 
-  /** Whether the vote that is asked for was not given to another member. */
-  isFreeFor({ preVote, term, from }: VoteRequest): boolean {
+  /** Whether the requested vote has not been given to another member. */
+  canVoteFor({ preVote, term, from }: VoteRequest): boolean {
     if (preVote) return term > this.#term;
     return term === this.#term && (this.#votedFor === undefined || this.#votedFor === from);
   }
 
-  /** Answers a request for a vote, and gives it if it is granted. */
-  answer({ preVote, term, from }: VoteRequest, granted: boolean): void {
+  /** Answers a vote request once the vote, if granted, is synced. */
+  answerRequest({ preVote, term, from }: VoteRequest, granted: boolean): void {
     if (granted && !preVote) {
       this.#votedFor = from;
-      this.#outbox.hardStateChanged();
+      this.#outbox.markHardStateChanged();
     }
     this.#outbox.sendAfterSync(from, {
       kind: 'vote-answer',
--- a/src/replication/compactor.ts
+++ b/src/replication/compactor.ts
@@ -1,34 +1,34 @@
 import type { RecordStore } from '../storage';
 import type { StateMachine } from './log-options';
 import type { LogEntry } from './messages';
-import type { SnapshotHead } from './member-log';
+import type { SnapshotMetadata } from './member-log';
 import type { RaftMember } from './raft';
-import { encodeSnapshot, encodeTail } from './records';
+import { encodeSnapshot, encodeRecordsAfterSnapshot } from './records';
 
 export interface CompactorOptions {
   readonly incarnation: string;
   readonly store: RecordStore;
   readonly member: RaftMember;
   readonly machine: Pick<StateMachine<unknown>, 'snapshot' | 'flush'>;
-  /** Applied entries from which a snapshot takes their place. */
+  /** Applied entries after which a snapshot is taken. */
   readonly snapshotEntries?: number | undefined;
-  /** The same as characters of their commands. */
+  /** Characters of applied commands after which a snapshot is taken. */
   readonly snapshotCharacters?: number | undefined;
 }
 
 const DEFAULT_SNAPSHOT_ENTRIES = 4096;
 const DEFAULT_SNAPSHOT_CHARACTERS = 32 * 1024 * 1024;
 
-/** Share of the entries of one snapshot that stay in memory for members that lag a little. */
-const KEPT_SHARE = 0.25;
+/** Fraction of `snapshotEntries` kept in memory, so that slightly lagging members need no snapshot. */
+const RETAINED_ENTRIES_FRACTION = 0.25;
 
-/** Puts snapshots in place of entries that were applied, one at a time. */
+/** Replaces applied entries by snapshots, one snapshot at a time. */
 export class Compactor {
   readonly #options: CompactorOptions;
   readonly #entryLimit: number;
   readonly #characterLimit: number;
-  #characters = 0;
-  #working = false;
+  #appliedCharacters = 0;
+  #compacting = false;
 
   constructor(options: CompactorOptions) {
     this.#options = options;
@@ -36,49 +36,56 @@
     this.#characterLimit = options.snapshotCharacters ?? DEFAULT_SNAPSHOT_CHARACTERS;
   }
 
-  noteApplied(entry: LogEntry): void {
-    this.#characters += entry.command.length;
+  recordApplied(entry: LogEntry): void {
+    this.#appliedCharacters += entry.command.length;
   }
 
-  /** Stores a snapshot from the leader, with the entries here that stay behind it. */
-  replaceBy(head: SnapshotHead, rows: readonly string[]): Promise<void> {
+  /** Stores a snapshot received from the leader together with the local entries that follow it. */
+  installSnapshot(metadata: SnapshotMetadata, rows: readonly string[]): Promise<void> {
     const { store, member, incarnation } = this.#options;
-    this.#characters = 0;
+    this.#appliedCharacters = 0;
     return store.compact({
-      snapshot: encodeSnapshot(head, rows),
-      records: encodeTail(incarnation, member.hardState, member.log.entriesBehind(head.position)),
+      snapshot: encodeSnapshot(metadata, rows),
+      records: encodeRecordsAfterSnapshot(
+        incarnation,
+        member.hardState,
+        member.log.entriesAfter(metadata.position),
+      ),
       exclusive: true,
     });
   }
 
   /**
-   * Takes a snapshot of the state at `appliedIndex` if enough was applied since the last one.
-   * Rejects when the disk fails.
+   * Takes a snapshot of the state at `appliedIndex` once either limit is reached since the last
+   * one. Rejects when the store fails.
    */
-  async compactWhenDue(appliedIndex: number): Promise<void> {
+  async compactIfDue(appliedIndex: number): Promise<void> {
     const { member } = this.#options;
-    const large = this.#characters >= this.#characterLimit;
-    const due = large || appliedIndex - member.log.base.index >= this.#entryLimit;
-    if (!due || this.#working) return;
-    this.#working = true;
+    const isOverCharacterLimit = this.#appliedCharacters >= this.#characterLimit;
+    const isDue = isOverCharacterLimit || appliedIndex - member.log.base.index >= this.#entryLimit;
+    if (!isDue || this.#compacting) return;
+    this.#compacting = true;
     try {
-      await this.#compact(appliedIndex);
-      const kept = large ? 0 : Math.floor(this.#entryLimit * KEPT_SHARE);
-      if (appliedIndex - kept > member.log.base.index) member.log.compactTo(appliedIndex - kept);
+      await this.#storeSnapshot(appliedIndex);
+      const retained = isOverCharacterLimit
+        ? 0
+        : Math.floor(this.#entryLimit * RETAINED_ENTRIES_FRACTION);
+      if (appliedIndex - retained > member.log.base.index)
+        member.log.compactTo(appliedIndex - retained);
     } finally {
-      this.#working = false;
+      this.#compacting = false;
     }
   }
 
-  async #compact(index: number): Promise<void> {
+  async #storeSnapshot(index: number): Promise<void> {
     const { store, member, incarnation, machine } = this.#options;
-    const snapshot = encodeSnapshot(member.log.headAt(index), machine.snapshot());
-    this.#characters = 0;
+    const snapshot = encodeSnapshot(member.log.snapshotMetadataAt(index), machine.snapshot());
+    this.#appliedCharacters = 0;
     const finish = await machine.flush?.();
-    // A snapshot from the leader may have come in between, which is newer.
+    // A newer snapshot from the leader may have been installed during the flush.
     if (member.log.base.index > index) return;
-    const tail = member.log.range(index + 1, member.lastIndex);
-    const records = encodeTail(incarnation, member.hardState, tail);
+    const following = member.log.range(index + 1, member.lastIndex);
+    const records = encodeRecordsAfterSnapshot(incarnation, member.hardState, following);
     await store.compact({ snapshot, records, exclusive: false });
     await finish?.();
   }
--- a/src/replication/election-timer.ts
+++ b/src/replication/election-timer.ts
@@ -1,64 +1,65 @@
 import type { RandomSource } from '../core';
 
-/** Random part of the wait before an election, as a share of the election time. */
-const ELECTION_SPREAD = 0.5;
+/** Maximum random addition to an election delay, as a fraction of the election timeout. */
+const ELECTION_JITTER_FRACTION = 0.5;
 
-/** Shortest wait before an election is tried again, as a share of the election time. */
-const RETRY_SHARE = 0.2;
+/** Minimum delay before a failed election is retried, as a fraction of the election timeout. */
+const MINIMUM_RETRY_FRACTION = 0.2;
 
-/** Silence of all leaders, in election times, after which a member may have been removed. */
-const LEADERLESS_ELECTION_TIMES = 3;
+/** Election timeouts without leader contact after which a member may have been removed. */
+const LEADERLESS_ELECTION_TIMEOUTS = 3;
 
-/** Share of the shortest election time that a read lease lasts; the rest covers clock drift. */
-const LEASE_SHARE = 0.8;
+/** Read lease duration as a fraction of the election timeout; the rest allows for clock drift. */
+const READ_LEASE_FRACTION = 0.8;
 
-/** When a member last heard of a leader, and when it stands for election. Times in milliseconds. */
+/** Tracks leader contact and the election deadline; monotonic times in milliseconds. */
 export class ElectionTimer {
   readonly #random: RandomSource;
-  readonly #election: number;
-  #due = 0;
-  #leaderHeardAt = -Infinity;
+  readonly #electionMilliseconds: number;
+  #deadline = 0;
+  #leaderContactAt = -Infinity;
 
   constructor(electionMilliseconds: number, random: RandomSource) {
-    this.#election = electionMilliseconds;
+    this.#electionMilliseconds = electionMilliseconds;
     this.#random = random;
   }
 
   get electionMilliseconds(): number {
-    return this.#election;
+    return this.#electionMilliseconds;
   }
 
-  /** Time from an answer of a quorum for which no other member can have been elected. */
-  get leaseMilliseconds(): number {
-    return this.#election * LEASE_SHARE;
+  /** Time after a quorum's answer during which no other member can have been elected. */
+  get readLeaseMilliseconds(): number {
+    return this.#electionMilliseconds * READ_LEASE_FRACTION;
   }
 
   isDue(now: number): boolean {
-    return now >= this.#due;
+    return now >= this.#deadline;
   }
 
-  /** Whether a leader was heard so lately that it still stands. */
-  isLeaderLive(now: number): boolean {
-    return now - this.#leaderHeardAt < this.#election;
+  /** Whether a leader made contact within the last election timeout. */
+  hasRecentLeader(now: number): boolean {
+    return now - this.#leaderContactAt < this.#electionMilliseconds;
   }
 
-  /** Whether no leader was heard for a few election times. */
+  /** Whether no leader made contact for {@link LEADERLESS_ELECTION_TIMEOUTS} election timeouts. */
   isLeaderless(now: number): boolean {
-    return now - this.#leaderHeardAt > this.#election * LEADERLESS_ELECTION_TIMES;
+    return now - this.#leaderContactAt > this.#electionMilliseconds * LEADERLESS_ELECTION_TIMEOUTS;
   }
 
-  hearLeader(now: number): void {
-    this.#leaderHeardAt = now;
+  recordLeaderContact(now: number): void {
+    this.#leaderContactAt = now;
     this.reset(now);
   }
 
   reset(now: number): void {
-    this.#due = now + this.#election * (1 + ELECTION_SPREAD * this.#random.fraction());
+    this.#deadline =
+      now + this.#electionMilliseconds * (1 + ELECTION_JITTER_FRACTION * this.#random.fraction());
   }
 
-  /** An election that failed because two members stood at once is tried again soon. */
+  /** Uses a shorter delay than {@link reset}, so that a split vote is resolved quickly. */
   resetForRetry(now: number): void {
-    const share = RETRY_SHARE + ELECTION_SPREAD * this.#random.fraction();
-    this.#due = now + this.#election * share;
+    const fraction = MINIMUM_RETRY_FRACTION + ELECTION_JITTER_FRACTION * this.#random.fraction();
+    this.#deadline = now + this.#electionMilliseconds * fraction;
   }
 }
--- a/src/replication/entries.ts
+++ b/src/replication/entries.ts
@@ -1,15 +1,14 @@
 import type { LogEntry } from './messages';
 
-/** Place of one entry in the log. */
 export interface LogPosition {
   readonly index: number;
   readonly term: number;
 }
 
-/** Where a log without a snapshot begins. */
+/** Base of a log without a snapshot. */
 export const LOG_START: LogPosition = { index: 0, term: 0 };
 
-/** The entries of one member in memory, behind the position that a snapshot covers. */
+/** In-memory log entries that follow the position covered by a snapshot. */
 export class EntryList {
   #base: LogPosition;
   #entries: LogEntry[];
@@ -19,7 +18,7 @@
     this.#entries = [...entries];
   }
 
-  /** Position up to which entries were dropped, since a snapshot covers them. */
+  /** Last position covered by a snapshot, whose entries are dropped. */
   get base(): LogPosition {
     return this.#base;
   }
@@ -32,7 +31,7 @@
     return this.termAt(this.lastIndex);
   }
 
-  /** Term of the entry at `index`; -1 where it is not known. */
+  /** Term of the entry at `index`, or -1 if unknown. */
   termAt(index: number): number {
     if (index === this.#base.index) return this.#base.term;
     return this.#entries[index - this.#base.index - 1]?.term ?? -1;
@@ -42,25 +41,25 @@
     for (const entry of entries) this.#entries.push(entry);
   }
 
-  /** Drops the entries from `index` on. */
+  /** Drops the entry at `index` and all later ones. */
   truncateFrom(index: number): void {
     this.#entries.length = Math.max(0, index - this.#base.index - 1);
   }
 
-  /** Drops the entries up to `position`, all of them if the log holds another one there. */
+  /** Drops the entries up to `position`, or all entries if the term at that index differs. */
   compactTo(position: LogPosition): void {
-    const known = this.termAt(position.index) === position.term;
-    this.#entries = known ? this.#entries.slice(position.index - this.#base.index) : [];
+    const matches = this.termAt(position.index) === position.term;
+    this.#entries = matches ? this.#entries.slice(position.index - this.#base.index) : [];
     this.#base = position;
   }
 
-  /** Entries from `first` to `last`, both included, `limit` at most. */
+  /** Entries from `first` to `last`, both inclusive, at most `limit`. */
   range(first: number, last: number, limit = Infinity): readonly LogEntry[] {
     const start = first - this.#base.index - 1;
     return this.#entries.slice(start, Math.min(last - this.#base.index, start + limit));
   }
 
-  /** Lowest index known that carries the same term as `index` in an unbroken run. */
+  /** First index of the contiguous entries that have the same term as `index`. */
   startOfTerm(index: number): number {
     const term = this.termAt(index);
     let start = index;
--- a/src/replication/errors.ts
+++ b/src/replication/errors.ts
@@ -1,13 +1,13 @@
 import { MartenbayError } from '../core';
 
-/** Why a proposal has no result here. */
+/** Why a proposal returned no result. */
 export type ProposalFailure =
-  /** This member does not lead; nothing was proposed. */
+  /** This member is not the leader; the command was not proposed. */
   | 'not-leader'
-  /** Leadership ended before the commit; the command may still take effect. */
+  /** The outcome is unknown: the command may still be committed. */
   | 'uncertain';
 
-/** A command was not committed, or not known to be. */
+/** Thrown when a command was not proposed or its commit is uncertain. */
 export class ReplicationError extends MartenbayError {
   readonly failure: ProposalFailure;
 
--- a/src/replication/greetings.ts
+++ b/src/replication/greetings.ts
@@ -1,38 +1,37 @@
 import type { Hello } from './messages';
 import { type Membership, allMembers, nameOf } from './membership';
 
-/** How long a greeting counts; milliseconds. */
-const GREETING_MILLISECONDS = 2000;
+const HELLO_VALIDITY_MILLISECONDS = 2000;
 
-interface Greeting {
+interface ReceivedHello {
   readonly hello: Hello;
-  /** Monotonic, in milliseconds. */
-  readonly heardAt: number;
+  /** Monotonic time in milliseconds. */
+  readonly receivedAt: number;
 }
 
-/** Hosts that have said lately that they hear no leader. */
-export class Greetings {
-  readonly #byName = new Map<string, Greeting>();
+/** Newest hello message of each host without a leader; messages expire. */
+export class RecentHellos {
+  readonly #receivedByHost = new Map<string, ReceivedHello>();
 
-  hear(hello: Hello, now: number): void {
-    this.#byName.set(nameOf(hello.from), { hello, heardAt: now });
+  record(hello: Hello, now: number): void {
+    this.#receivedByHost.set(nameOf(hello.from), { hello, receivedAt: now });
   }
 
-  /** Identities that are no members and wish to be. */
-  newcomers(membership: Membership, now: number): readonly string[] {
+  /** Identities outside the membership that have sent a recent hello. */
+  joiningIdentities(membership: Membership, now: number): readonly string[] {
     const members = allMembers(membership);
-    return this.#recent(now)
+    return this.#recentHellos(now)
       .map((hello) => hello.from)
       .filter((identity) => !members.includes(identity));
   }
 
   /**
-   * The first membership, if this host is the one to found the log: it and all others listed are
-   * new, list the same hosts, and this one's name is the first of them.
+   * The initial membership, if this host may bootstrap the log: it is listed first, and all listed
+   * hosts are new and list the same hosts.
    */
-  foundingMembership(own: Hello, now: number): Membership | undefined {
+  initialMembership(own: Hello, now: number): Membership | undefined {
     const names = own.hosts;
-    const others = this.#recent(now).filter(
+    const others = this.#recentHellos(now).filter(
       (hello) => hello.isNew && hello.hosts.join() === own.hosts.join(),
     );
     const identities = names.map((name) =>
@@ -46,9 +45,9 @@
     return { voters, learners: [] };
   }
 
-  #recent(now: number): readonly Hello[] {
-    return [...this.#byName.values()]
-      .filter((greeting) => now - greeting.heardAt <= GREETING_MILLISECONDS)
-      .map((greeting) => greeting.hello);
+  #recentHellos(now: number): readonly Hello[] {
+    return [...this.#receivedByHost.values()]
+      .filter((received) => now - received.receivedAt <= HELLO_VALIDITY_MILLISECONDS)
+      .map((received) => received.hello);
   }
 }
--- a/src/replication/hand-over.ts
+++ b/src/replication/hand-over.ts
@@ -1,33 +1,38 @@
 import type { Clock } from '../core';
 
-/** What a hand-over before a planned stop needs; times in milliseconds. */
-export interface HandOverOptions {
+export interface LeadershipTransferOptions {
   readonly clock: Clock;
-  /** Longest wait for another member to take over. */
-  readonly deadlineMilliseconds: number;
-  /** Pause after which leadership is offered again. */
-  readonly pauseMilliseconds: number;
-  /** Whether this member still leads and has somebody to hand over to. */
-  readonly leads: () => boolean;
-  readonly offer: () => void;
-  /** Calls a listener once at the next change of role. */
-  readonly onceChanged: (listener: () => void) => void;
+  /** Maximum time to wait until another member leads. */
+  readonly timeoutMilliseconds: number;
+  /** Delay before another attempt. */
+  readonly retryMilliseconds: number;
+  /** Whether this member still leads and another voter exists. */
+  readonly canTransfer: () => boolean;
+  readonly attempt: () => void;
+  /** Calls a listener once at the next change of role, leader or term. */
+  readonly onNextChange: (listener: () => void) => void;
 }
 
-/** Offers leadership to another member until it has taken it, or the deadline has passed. */
-export async function handOver(options: HandOverOptions): Promise<void> {
-  const { clock, deadlineMilliseconds, leads, offer } = options;
-  const deadline = clock.monotonic() + deadlineMilliseconds;
-  while (leads() && clock.monotonic() < deadline) {
-    offer();
-    await changeOrPause(options);
+/** Retries a leadership transfer until another member leads or the timeout expires. */
+export async function transferLeadershipWithRetry(
+  options: LeadershipTransferOptions,
+): Promise<void> {
+  const { clock, timeoutMilliseconds, canTransfer, attempt } = options;
+  const deadline = clock.monotonic() + timeoutMilliseconds;
+  while (canTransfer() && clock.monotonic() < deadline) {
+    attempt();
+    await waitForChangeOrRetry(options);
   }
 }
 
-function changeOrPause({ clock, pauseMilliseconds, onceChanged }: HandOverOptions): Promise<void> {
+function waitForChangeOrRetry({
+  clock,
+  retryMilliseconds,
+  onNextChange,
+}: LeadershipTransferOptions): Promise<void> {
   return new Promise((resolve) => {
-    const cancel = clock.after(pauseMilliseconds, resolve);
-    onceChanged(() => {
+    const cancel = clock.after(retryMilliseconds, resolve);
+    onNextChange(() => {
       cancel();
       resolve();
     });
--- a/src/replication/log-options.ts
+++ b/src/replication/log-options.ts
@@ -4,36 +4,34 @@
 import type { Envelope } from './messages';
 import type { RaftRole } from './raft-options';
 
-/** Carries messages to other members; delivery may fail, repeat or come out of order. */
+/** Sends messages to other members; they may be lost, duplicated or reordered. */
 export interface ReplicationTransport {
   send(envelope: Envelope): void;
 }
 
-/** The deterministic state that the log's commands drive. */
+/** Deterministic state machine driven by the committed commands. */
 export interface StateMachine<Result> {
-  /** Applies one committed command; `index` counts from 1. */
+  /** Applies one committed command; the first entry of the log has `index` 1. */
   apply(command: string, index: number, term: number): Result;
-  /** The present state as rows of text without line feeds; they may be read later, one by one. */
+  /** Rows of the current state, without line feeds; the caller may iterate them later. */
   snapshot(): Iterable<string>;
-  /** Replaces the state by that of a snapshot. */
+  /** Replaces the state by the rows of a snapshot. */
   restore(rows: readonly string[]): void;
-  /** A snapshot for another host; the same rows unless given. */
+  /** Rows of a snapshot for another host; defaults to {@link snapshot}. */
   transfer?(): AsyncIterable<string>;
   /**
-   * Syncs what the rows of a snapshot refer to; resolves with what is to be done once that
-   * snapshot is in place.
+   * Syncs external content that the rows of a snapshot refer to; resolves with an action to run
+   * once that snapshot is stored.
    */
   flush?(): Promise<() => Promise<void>>;
 }
 
-/** What a replicated log is built from; times in milliseconds. */
 export interface ReplicatedLogOptions<Result> {
   /** Name of this host. */
   readonly self: string;
   /**
-   * Names of the hosts that are to be members, this one included, in the same order everywhere.
-   * The first one founds the log, and is given the lead again some time after it lost it. The list
-   * may change over time.
+   * Names of the desired member hosts, including this one, in the same order on every host. The
+   * first host bootstraps the log and is the preferred leader. The list may change over time.
    */
   readonly hosts: () => readonly string[];
   readonly store: RecordStore;
@@ -41,36 +39,36 @@
   readonly machine: StateMachine<Result>;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Calls an action at least twice in a heartbeat time; a timer of its own unless given. */
+  /** Calls an action at least twice per heartbeat interval; defaults to a separate timer. */
   readonly everyTick?: (action: () => void) => CancelTimer;
   readonly heartbeatMilliseconds?: number;
   readonly electionMilliseconds?: number;
-  /** Applied entries from which a snapshot takes their place. */
+  /** Applied entries after which a snapshot is taken. */
   readonly snapshotEntries?: number;
-  /** The same as characters of their commands. */
+  /** Characters of applied commands after which a snapshot is taken. */
   readonly snapshotCharacters?: number;
-  /** Called when the role or leader changes. */
+  /** Called when the role, leader, term, readiness to serve or right to vote changes. */
   readonly onChange?: () => void;
-  /** Called when this leader changes the membership. */
+  /** Called when this member, as leader, proposes a new membership. */
   readonly onMembership?: (membership: Membership, reason: string) => void;
-  /** Called once when the disk fails; the member takes no further part. */
+  /** Called once when the store fails; the member then stops processing messages. */
   readonly onFailure?: (error: unknown) => void;
 }
 
-/** A replicated log as those see it who propose nothing. */
+/** A replicated log without the means to propose commands. */
 export interface LogView {
   readonly role: RaftRole;
   readonly term: number;
   /** Identity of the leader, if one is known. */
   readonly leader: string | undefined;
   readonly membership: Membership;
-  /** Members that have not answered this leader for a while. */
+  /** Identities of members that have not answered this leader recently. */
   readonly silentMembers: readonly string[];
   readonly appliedIndex: number;
-  /** Whether this member leads and its state holds every acknowledged command. */
+  /** Whether this member leads and its state includes every acknowledged command. */
   readonly serves: boolean;
-  /** Takes messages from other members; what they cause goes out through the transport. */
+  /** Processes messages of other members; resulting messages are sent through the transport. */
   receive(envelopes: readonly Envelope[]): void;
-  /** Takes messages that one member sent, and resolves with the answers to it. */
+  /** Processes messages of one member and resolves with the answers to it. */
   exchange(envelopes: readonly Envelope[]): Promise<readonly Envelope[]>;
 }
--- a/src/replication/member-log.ts
+++ b/src/replication/member-log.ts
@@ -3,39 +3,39 @@
 import type { AppendRequest, LogEntry } from './messages';
 import type { Outbox } from './outbox';
 
-/** What a snapshot says of the log that it stands for. */
-export interface SnapshotHead {
+/** The last position that a snapshot covers and the membership in force there. */
+export interface SnapshotMetadata {
   readonly position: LogPosition;
   readonly membership: Membership;
 }
 
-/** What a member's log starts from. */
-export interface MemberLogOptions {
-  /** What a snapshot covers, and the membership in force there. */
+export interface RaftLogOptions {
+  /** Last position covered by a snapshot. */
   readonly base?: LogPosition;
+  /** Membership in force at the base. */
   readonly membership?: Membership;
-  /** Entries behind the base. */
+  /** Entries after the base. */
   readonly entries?: readonly LogEntry[];
 }
 
-/** What the driver of a member does with its log itself. */
-export type SnapshottedLog = Pick<
-  MemberLog,
-  'base' | 'range' | 'headAt' | 'entriesBehind' | 'install' | 'compactTo'
+/** The part of a {@link RaftLog} used to create, store and install snapshots. */
+export type CompactableLog = Pick<
+  RaftLog,
+  'base' | 'range' | 'snapshotMetadataAt' | 'entriesAfter' | 'installSnapshot' | 'compactTo'
 >;
 
 /**
- * The log of one member: its entries, the memberships they bring, and how far it is synced and
- * committed. What has to be written goes to the outbox.
+ * The log of one member: its entries, the memberships they contain, and the synced and committed
+ * indexes. Changes that have to be synced are added to the outbox.
  */
-export class MemberLog {
+export class RaftLog {
   readonly #outbox: Outbox;
   readonly #entries: EntryList;
   readonly #memberships: MembershipHistory;
   #commitIndex: number;
   #syncedIndex: number;
 
-  constructor(options: MemberLogOptions, outbox: Outbox) {
+  constructor(options: RaftLogOptions, outbox: Outbox) {
     const { base = LOG_START, membership = NO_MEMBERS, entries = [] } = options;
     this.#outbox = outbox;
     this.#entries = new EntryList(base, entries);
@@ -61,7 +61,7 @@
     return this.#entries.lastTerm;
   }
 
-  /** Position up to which entries were dropped. */
+  /** Last position covered by a snapshot, whose entries are dropped. */
   get base(): LogPosition {
     return this.#entries.base;
   }
@@ -76,40 +76,40 @@
     return this.#memberships.changedAt <= this.#commitIndex;
   }
 
-  /** Whether it holds nothing: no entry, no snapshot and no membership. */
+  /** Whether the log has no entry, no snapshot and no membership. */
   get isNew(): boolean {
     return this.lastIndex === 0 && this.membership.voters.length === 0;
   }
 
-  /** Term of the entry at `index`; -1 where it is not known. */
+  /** Term of the entry at `index`, or -1 if unknown. */
   termAt(index: number): number {
     return this.#entries.termAt(index);
   }
 
-  /** Entries from `first` to `last`, both included, `limit` at most. */
+  /** Entries from `first` to `last`, both inclusive, at most `limit`. */
   range(first: number, last: number, limit?: number): readonly LogEntry[] {
     return this.#entries.range(first, last, limit);
   }
 
-  /** Whether a log that ends at this position holds all that this one does. */
+  /** Whether a log that ends at this position is at least as up to date as this one. */
   isCoveredBy({ index, term }: LogPosition): boolean {
     return term > this.lastTerm || (term === this.lastTerm && index >= this.lastIndex);
   }
 
-  /** Takes the first membership of a log that nobody has founded yet. */
-  found(membership: Membership): void {
+  /** Sets the initial membership of a log that has not been bootstrapped. */
+  bootstrap(membership: Membership): void {
     this.#memberships.add(0, membership);
-    this.#outbox.foundedBy(membership);
+    this.#outbox.setInitialMembership(membership);
   }
 
-  /** Adds an entry of a leader's own; returns its index. */
-  add(term: number, content: Pick<LogEntry, 'command' | 'membership'>): number {
+  /** Appends an entry as the leader; returns its index. */
+  appendEntry(term: number, content: Pick<LogEntry, 'command' | 'membership'>): number {
     const entry = { index: this.lastIndex + 1, term, ...content };
     this.#append([entry]);
     return entry.index;
   }
 
-  /** Index from which a leader's append should be tried again; nothing if it fits. */
+  /** Index after which the leader should retry its append; undefined if the append matches. */
   findRetryIndex({ previousIndex, previousTerm }: AppendRequest): number | undefined {
     const { index: baseIndex } = this.base;
     if (previousIndex < baseIndex || this.termAt(previousIndex) === previousTerm) return undefined;
@@ -118,49 +118,52 @@
     return Math.max(from, Math.min(this.#commitIndex, retry));
   }
 
-  /** Takes a leader's append that fits; returns the last index known equal to the leader's log. */
-  follow({ previousIndex, entries, commitIndex }: AppendRequest): number {
+  /** Applies a matching append of the leader; returns the last index known to match its log. */
+  appendFromLeader({ previousIndex, entries, commitIndex }: AppendRequest): number {
     const { index: baseIndex } = this.base;
-    // What the base covers was committed, so the leader's log holds the same.
+    // Entries up to the base are committed, so the leader's log contains the same ones.
     this.#merge(entries.filter((entry) => entry.index > baseIndex));
     const matchIndex = Math.max(baseIndex, previousIndex + entries.length);
     this.#commitIndex = Math.max(this.#commitIndex, Math.min(commitIndex, matchIndex));
     return matchIndex;
   }
 
-  /** Tells that the log up to the entry with this index and term is synced; returns whether it is. */
-  noteSynced(index: number, term: number): boolean {
+  /** Records a sync up to an entry; returns false if that entry has since been replaced. */
+  recordSynced(index: number, term: number): boolean {
     if (this.termAt(index) !== term) return false;
     this.#syncedIndex = Math.max(this.#syncedIndex, index);
     return true;
   }
 
-  /** Commits up to an index that a quorum holds; only entries of the leader's own term count. */
+  /**
+   * Commits up to an index stored by a quorum; returns whether the commit index advanced. The entry
+   * there must be of the leader's current term (Raft, section 5.4.2).
+   */
   commitTo(index: number, term: number): boolean {
     if (index <= this.#commitIndex || this.termAt(index) !== term) return false;
     this.#commitIndex = index;
     return true;
   }
 
-  /** Drops the entries up to an applied index, which a snapshot covers now. */
+  /** Drops the entries up to an applied index that a snapshot covers. */
   compactTo(index: number): void {
     this.#memberships.compactTo(index);
     this.#entries.compactTo({ index, term: this.termAt(index) });
   }
 
-  /** What a snapshot of the state at an index says of the log; the entry must still be known. */
-  headAt(index: number): SnapshotHead {
+  /** Metadata for a snapshot of the state at an index, whose entry or base must be in memory. */
+  snapshotMetadataAt(index: number): SnapshotMetadata {
     const position = { index, term: this.termAt(index) };
     return { position, membership: this.#memberships.at(index) };
   }
 
-  /** Entries that stay behind a snapshot: those that follow the position it covers, if it is here. */
-  entriesBehind({ index, term }: LogPosition): readonly LogEntry[] {
+  /** Entries after a position; none if the log does not contain that position. */
+  entriesAfter({ index, term }: LogPosition): readonly LogEntry[] {
     return this.termAt(index) === term ? this.range(index + 1, this.lastIndex) : [];
   }
 
-  /** Takes a leader's snapshot in place of the entries it covers; returns whether it was newer. */
-  install({ position, membership }: SnapshotHead): boolean {
+  /** Replaces the covered entries by a leader's snapshot; returns whether it was newer. */
+  installSnapshot({ position, membership }: SnapshotMetadata): boolean {
     if (position.index <= this.#commitIndex) return false;
     this.#entries.compactTo(position);
     this.#memberships.truncateFrom(position.index + 1);
@@ -172,7 +175,7 @@
     return true;
   }
 
-  /** Adds the entries that are missing, dropping own ones that contradict them. */
+  /** Appends missing entries and drops local ones that conflict with them. */
   #merge(entries: readonly LogEntry[]): void {
     const firstNew = entries.findIndex((entry) => this.termAt(entry.index) !== entry.term);
     if (firstNew < 0) return;
--- a/src/replication/membership-keeper.ts
+++ b/src/replication/membership-keeper.ts
@@ -1,87 +1,88 @@
-import { Greetings } from './greetings';
+import { RecentHellos } from './greetings';
 import { type Membership, allMembers, nameOf } from './membership';
 import { planMembership } from './membership-plan';
 import type { Envelope, Hello } from './messages';
 import type { RaftMember } from './raft';
 
-/** What keeps a membership; times in milliseconds. */
-export interface MembershipKeeperOptions {
-  /** Name of this host, and the identity of this life of its folder. */
+export interface MembershipReconcilerOptions {
+  /** Name of this host. */
   readonly self: string;
+  /** This host's name and the incarnation of its data folder. */
   readonly identity: string;
+  /** Names of the desired member hosts, the preferred leader first. */
   readonly hosts: () => readonly string[];
   readonly send: (envelope: Envelope) => void;
-  /** Silence after which a member may be replaced by a new life of the same host. */
-  readonly silenceMilliseconds: number;
+  /** Time without an answer after which a new incarnation of the host may replace the member. */
+  readonly unresponsiveMilliseconds: number;
   readonly onChange: (membership: Membership, reason: string) => void;
 }
 
-/** How long a leader leads before it hands over to the host that is listed first; milliseconds. */
-const PREFERENCE_MILLISECONDS = 5000;
+/** Minimum time a member leads before it transfers leadership to the host listed first. */
+const PREFERRED_LEADER_DELAY_MILLISECONDS = 5000;
 
-/** Founds a log, asks to be taken into it, and as its leader brings it to the hosts listed. */
-export class MembershipKeeper {
-  readonly #options: MembershipKeeperOptions;
-  readonly #greetings = new Greetings();
+/** Bootstraps a log, requests to join it and, as its leader, adapts its membership to the host list. */
+export class MembershipReconciler {
+  readonly #options: MembershipReconcilerOptions;
+  readonly #recentHellos = new RecentHellos();
 
-  constructor(options: MembershipKeeperOptions) {
+  constructor(options: MembershipReconcilerOptions) {
     this.#options = options;
   }
 
-  hear(hello: Hello, now: number): void {
-    this.#greetings.hear(hello, now);
+  receiveHello(hello: Hello, now: number): void {
+    this.#recentHellos.record(hello, now);
   }
 
   tick(member: RaftMember, now: number): void {
     const isMember = allMembers(member.membership).includes(this.#options.identity);
-    if (isMember && member.mayChangeMembership) this.#keep(member, now);
-    if (isMember) this.#preferFirst(member, now);
-    if (!isMember || member.isLeaderless(now)) this.#introduce(member, now);
+    if (isMember && member.canChangeMembership) this.#reconcile(member, now);
+    if (isMember) this.#transferToPreferredHost(member, now);
+    if (!isMember || member.isLeaderless(now)) this.#sendHellos(member, now);
   }
 
-  /** Members that have not answered for a while. */
-  silentMembers(member: RaftMember, now: number): readonly string[] {
-    const since = now - this.#options.silenceMilliseconds;
+  /** Members that have not answered within `unresponsiveMilliseconds`. */
+  unresponsiveMembers(member: RaftMember, now: number): readonly string[] {
+    const since = now - this.#options.unresponsiveMilliseconds;
     const peers = [...member.peers];
     return peers.filter(([, progress]) => progress.answeredAt < since).map(([peer]) => peer);
   }
 
-  /** Greets the hosts listed, and founds the log with them if all are new. */
-  #introduce(member: RaftMember, now: number): void {
+  /** Sends a hello to the listed hosts, and bootstraps the log if all of them are new. */
+  #sendHellos(member: RaftMember, now: number): void {
     const { self, identity, hosts, send } = this.#options;
     const { isNew } = member;
     const hello: Hello = { kind: 'hello', from: identity, isNew, hosts: hosts() };
     for (const to of hello.hosts) {
       if (to !== self) send({ to, message: hello });
     }
-    const founding = this.#greetings.foundingMembership(hello, now);
-    if (founding !== undefined) member.found(founding, now);
+    const initialMembership = this.#recentHellos.initialMembership(hello, now);
+    if (initialMembership !== undefined) member.bootstrap(initialMembership, now);
   }
 
-  /** Spreads the leaders of many logs over their hosts again after failures. */
-  #preferFirst(member: RaftMember, now: number): void {
+  /** Restores the distribution of many logs' leaders over their hosts after failures. */
+  #transferToPreferredHost(member: RaftMember, now: number): void {
     const [first = ''] = this.#options.hosts();
-    const rested = now - member.leaderSince >= PREFERENCE_MILLISECONDS;
-    if (!member.ready || !rested || nameOf(this.#options.identity) === first) return;
-    const silent = this.silentMembers(member, now);
+    const hasLedLongEnough = now - member.leaderSince >= PREFERRED_LEADER_DELAY_MILLISECONDS;
+    if (!member.ready || !hasLedLongEnough || nameOf(this.#options.identity) === first) return;
+    const unresponsive = this.unresponsiveMembers(member, now);
     const preferred = member.membership.voters.find((voter) => nameOf(voter) === first);
-    if (preferred === undefined || silent.includes(preferred)) return;
+    if (preferred === undefined || unresponsive.includes(preferred)) return;
     member.transferLeadership(now, preferred);
   }
 
-  #keep(member: RaftMember, now: number): void {
-    const { identity, hosts, silenceMilliseconds, onChange } = this.#options;
+  #reconcile(member: RaftMember, now: number): void {
+    const { identity, hosts, unresponsiveMilliseconds, onChange } = this.#options;
     const step = planMembership({
       self: identity,
       membership: member.membership,
       peers: member.peers,
       hosts: hosts(),
-      newcomers: this.#greetings.newcomers(member.membership, now),
+      joiningIdentities: this.#recentHellos.joiningIdentities(member.membership, now),
       commitIndex: member.commitIndex,
       now,
-      silenceMilliseconds,
+      unresponsiveMilliseconds,
     });
-    if (step?.kind === 'hand-over') member.transferLeadership(now);
+    if (step?.kind === 'transfer-leadership') member.transferLeadership(now);
     if (step?.kind !== 'change') return;
     member.changeMembership(step.membership, now);
     onChange(step.membership, step.reason);
--- a/src/replication/membership-plan.ts
+++ b/src/replication/membership-plan.ts
@@ -1,98 +1,106 @@
 import { type Membership, allMembers, nameOf } from './membership';
-import type { Progress } from './progress';
+import type { PeerProgress } from './progress';
 
-/** What the plan of a leader rests on; times are monotonic, in milliseconds. */
-export interface MembershipView {
+/** A leader's knowledge of the members; times are monotonic, in milliseconds. */
+export interface MembershipPlanInput {
   readonly self: string;
   readonly membership: Membership;
-  readonly peers: ReadonlyMap<string, Readonly<Progress>>;
-  /** Names of the hosts that are to be members. */
+  readonly peers: ReadonlyMap<string, Readonly<PeerProgress>>;
+  /** Names of the desired member hosts. */
   readonly hosts: readonly string[];
-  /** Identities that asked lately to be taken in. */
-  readonly newcomers: readonly string[];
+  /** Identities that recently requested to join. */
+  readonly joiningIdentities: readonly string[];
   readonly commitIndex: number;
   readonly now: number;
-  /** Silence after which a member may be replaced by a new life of the same host. */
-  readonly silenceMilliseconds: number;
+  /** Time without an answer after which a new incarnation of the host may replace the member. */
+  readonly unresponsiveMilliseconds: number;
 }
 
-/** What a leader does next about the membership. */
 export type MembershipStep =
   | { readonly kind: 'change'; readonly membership: Membership; readonly reason: string }
-  /** This leader is to leave, and hands over first. */
-  | { readonly kind: 'hand-over' };
+  /** This leader's host is no longer listed, so another member has to lead before its removal. */
+  | { readonly kind: 'transfer-leadership' };
 
-/** Entries that a learner may lack when it becomes a voter. */
-const CAUGHT_UP_ENTRIES = 64;
+/** Maximum number of committed entries that a learner may lack when it becomes a voter. */
+const MAXIMUM_LAG_ENTRIES = 64;
 
 /**
- * Plans one change of one member: a caught-up learner becomes a voter, a member whose host has
- * come back without its disk is removed, a newcomer becomes a learner, and a host that is no
- * longer listed is removed last, so that the number of copies does not fall before it must.
+ * Plans one change of one member. In this order: promote a caught-up learner, remove a member whose
+ * host has a new incarnation, add a joining host as a learner, remove a host that is no longer
+ * listed. Removing unlisted hosts last keeps the number of replicas up while others join.
  */
-export function planMembership(view: MembershipView): MembershipStep | undefined {
-  return promote(view) ?? replace(view) ?? admit(view) ?? retire(view);
+export function planMembership(input: MembershipPlanInput): MembershipStep | undefined {
+  return promote(input) ?? removeReplaced(input) ?? addLearner(input) ?? removeUnlisted(input);
 }
 
-function promote(view: MembershipView): MembershipStep | undefined {
-  const { voters, learners } = view.membership;
-  const ready = learners.find((learner) => isCaughtUp(view, learner));
-  if (ready === undefined) return undefined;
-  const rest = learners.filter((learner) => learner !== ready);
-  return change({ voters: [...voters, ready], learners: rest }, `${ready} has caught up`);
+function promote(input: MembershipPlanInput): MembershipStep | undefined {
+  const { voters, learners } = input.membership;
+  const caughtUp = learners.find((learner) => isCaughtUp(input, learner));
+  if (caughtUp === undefined) return undefined;
+  const rest = learners.filter((learner) => learner !== caughtUp);
+  return changeTo(
+    { voters: [...voters, caughtUp], learners: rest },
+    `promoting learner ${caughtUp}: its log has caught up`,
+  );
 }
 
-function isCaughtUp(view: MembershipView, learner: string): boolean {
-  const progress = view.peers.get(learner);
-  if (progress === undefined || isSilent(view, learner)) return false;
-  return progress.matchIndex > 0 && progress.matchIndex + CAUGHT_UP_ENTRIES >= view.commitIndex;
+function isCaughtUp(input: MembershipPlanInput, learner: string): boolean {
+  const progress = input.peers.get(learner);
+  if (progress === undefined || isUnresponsive(input, learner)) return false;
+  return progress.matchIndex > 0 && progress.matchIndex + MAXIMUM_LAG_ENTRIES >= input.commitIndex;
 }
 
-function replace(view: MembershipView): MembershipStep | undefined {
-  const replaced = allMembers(view.membership).find(
+function removeReplaced(input: MembershipPlanInput): MembershipStep | undefined {
+  const replaced = allMembers(input.membership).find(
     (member) =>
-      view.newcomers.some((newcomer) => nameOf(newcomer) === nameOf(member)) &&
-      isSilent(view, member),
+      input.joiningIdentities.some((joining) => nameOf(joining) === nameOf(member)) &&
+      isUnresponsive(input, member),
+  );
+  if (replaced === undefined || replaced === input.self) return undefined;
+  return changeTo(
+    withoutMember(input.membership, replaced),
+    `removing ${replaced}: its host rejoined with a new data folder`,
   );
-  if (replaced === undefined || replaced === view.self) return undefined;
-  return change(without(view.membership, replaced), `${replaced} has lost its disk`);
 }
 
-function admit(view: MembershipView): MembershipStep | undefined {
-  const { membership, hosts, newcomers } = view;
+function addLearner(input: MembershipPlanInput): MembershipStep | undefined {
+  const { membership, hosts, joiningIdentities } = input;
   const names = allMembers(membership).map(nameOf);
-  const newcomer = newcomers.find(
+  const joining = joiningIdentities.find(
     (identity) => hosts.includes(nameOf(identity)) && !names.includes(nameOf(identity)),
   );
-  if (newcomer === undefined) return undefined;
-  const learners = [...membership.learners, newcomer];
-  return change({ ...membership, learners }, `${newcomer} asks to be taken in`);
+  if (joining === undefined) return undefined;
+  const learners = [...membership.learners, joining];
+  return changeTo({ ...membership, learners }, `adding learner ${joining}: it requested to join`);
 }
 
-function retire(view: MembershipView): MembershipStep | undefined {
-  const { membership, hosts, self } = view;
+function removeUnlisted(input: MembershipPlanInput): MembershipStep | undefined {
+  const { membership, hosts, self } = input;
   const names = membership.voters.map(nameOf);
-  const complete = hosts.every((host) => names.includes(host));
+  const allListedHostsVote = hosts.every((host) => names.includes(host));
   const leaving = allMembers(membership).filter((member) => !hosts.includes(nameOf(member)));
   const [first] = leaving.filter((member) => member !== self);
-  if (!complete || leaving.length === 0) return undefined;
-  if (first === undefined) return { kind: 'hand-over' };
-  return change(without(membership, first), `${nameOf(first)} is no longer listed`);
+  if (!allListedHostsVote || leaving.length === 0) return undefined;
+  if (first === undefined) return { kind: 'transfer-leadership' };
+  return changeTo(
+    withoutMember(membership, first),
+    `removing ${nameOf(first)}: the host is no longer listed`,
+  );
 }
 
-function isSilent(view: MembershipView, member: string): boolean {
-  if (member === view.self) return false;
-  const answeredAt = view.peers.get(member)?.answeredAt ?? -Infinity;
-  return view.now - answeredAt > view.silenceMilliseconds;
+function isUnresponsive(input: MembershipPlanInput, member: string): boolean {
+  if (member === input.self) return false;
+  const answeredAt = input.peers.get(member)?.answeredAt ?? -Infinity;
+  return input.now - answeredAt > input.unresponsiveMilliseconds;
 }
 
-function without(membership: Membership, member: string): Membership {
+function withoutMember(membership: Membership, member: string): Membership {
   return {
     voters: membership.voters.filter((voter) => voter !== member),
     learners: membership.learners.filter((learner) => learner !== member),
   };
 }
 
-function change(membership: Membership, reason: string): MembershipStep {
+function changeTo(membership: Membership, reason: string): MembershipStep {
   return { kind: 'change', membership, reason };
 }
--- a/src/replication/membership.ts
+++ b/src/replication/membership.ts
@@ -1,51 +1,48 @@
 import * as z from 'zod';
 
 /**
- * One life of a member's data folder, as name/incarnation. A host whose folder was lost comes back
- * under a new one: it knows nothing of what it voted for and acknowledged before, so it is another
- * member.
+ * Identity of a member, as host/incarnation. A host that lost its data folder gets a new
+ * incarnation and counts as another member, since its votes and acknowledged entries are lost.
  */
 const memberIdentity = z.string().regex(/^[^/]+\/[^/]+$/);
 
-/** Who takes part in a replicated log, by identity. */
+/** The members of a replicated log, by identity. */
 export const membershipSchema = z.object({
   voters: z.array(memberIdentity).readonly(),
-  /** Receive the log and count for nothing until they have caught up. */
+  /** Members that receive the log but do not vote or count for the quorum. */
   learners: z.array(memberIdentity).readonly(),
 });
 export type Membership = Readonly<z.output<typeof membershipSchema>>;
 
-/** Membership of a log that nobody has founded yet. */
+/** Membership of a log that has not been bootstrapped. */
 export const NO_MEMBERS: Membership = { voters: [], learners: [] };
 
-/** Builds an identity. */
 export function identityOf(name: string, incarnation: string): string {
   return `${name}/${incarnation}`;
 }
 
-/** The host's name in an identity. */
 export function nameOf(identity: string): string {
   return identity.slice(0, identity.indexOf('/'));
 }
 
-/** Members needed for a majority of the voters. */
+/** Number of voters that form a majority. */
 export function quorumOf(membership: Membership): number {
   return Math.floor(membership.voters.length / 2) + 1;
 }
 
-/** Everyone who receives the log. */
+/** Voters and learners. */
 export function allMembers(membership: Membership): readonly string[] {
   return [...membership.voters, ...membership.learners];
 }
 
-interface Change {
+interface MembershipChange {
   readonly index: number;
   readonly membership: Membership;
 }
 
-/** The memberships of a log by index; each is in force from the moment its entry is appended. */
+/** The memberships of a log by index; each is in force from the time its entry is appended. */
 export class MembershipHistory {
-  #changes: readonly Change[];
+  #changes: readonly MembershipChange[];
 
   constructor(baseIndex: number, membership: Membership) {
     this.#changes = [{ index: baseIndex, membership }];
@@ -55,7 +52,7 @@
     return this.#changes.at(-1)?.membership ?? NO_MEMBERS;
   }
 
-  /** Index of the entry that brought the present membership. */
+  /** Index of the entry that contains the current membership. */
   get changedAt(): number {
     return this.#changes.at(-1)?.index ?? 0;
   }
@@ -69,14 +66,14 @@
     this.#changes = [...this.#changes, { index, membership }];
   }
 
-  /** Goes back to what was in force before `index`. */
+  /** Drops the memberships from `index` on, except the base. */
   truncateFrom(index: number): void {
     const [first, ...rest] = this.#changes;
     if (first === undefined) return;
     this.#changes = [first, ...rest.filter((change) => change.index < index)];
   }
 
-  /** Forgets what was in force before `index`. */
+  /** Makes the membership in force at `index` the base and drops earlier ones. */
   compactTo(index: number): void {
     const base = { index, membership: this.at(index) };
     this.#changes = [base, ...this.#changes.filter((change) => change.index > index)];
--- a/src/replication/messages.ts
+++ b/src/replication/messages.ts
@@ -3,27 +3,27 @@
 
 const index = z.int().nonnegative();
 const term = z.int().nonnegative();
-const member = z.string();
+const memberIdentity = z.string();
 
-/** One entry of the replicated log; `command` is JSON text, empty for entries of the log's own. */
+/** `command` is JSON text, or empty for an entry that the log itself appends. */
 export const logEntrySchema = z.object({
   index,
   term,
   command: z.string(),
-  /** Present on an entry that changes the membership. */
+  /** Membership in force from this entry on; absent if unchanged. */
   membership: membershipSchema.optional(),
 });
 export type LogEntry = Readonly<z.output<typeof logEntrySchema>>;
 
 const voteRequest = z.object({
   kind: z.literal('vote-request'),
-  /** Asks whether a vote would be granted, without any member changing its term. */
+  /** Asks whether a vote would be granted; no member changes its term. */
   preVote: z.boolean(),
   term,
-  from: member,
+  from: memberIdentity,
   lastIndex: index,
   lastTerm: term,
-  /** The leader asked for this election, so that its own lease does not stand against it. */
+  /** Requested by the leader as a leadership transfer, so its lease does not block the vote. */
   transfer: z.boolean(),
 });
 
@@ -31,41 +31,41 @@
   kind: z.literal('vote-answer'),
   preVote: z.boolean(),
   term,
-  from: member,
+  from: memberIdentity,
   granted: z.boolean(),
 });
 
-const append = z.object({
+const appendRequest = z.object({
   kind: z.literal('append'),
   term,
-  from: member,
+  from: memberIdentity,
   previousIndex: index,
-  /** -1 when the leader no longer knows; no member matches it. */
+  /** Term at `previousIndex`, or -1 if unknown to the leader; -1 never matches. */
   previousTerm: z.int().min(-1),
   entries: z.array(logEntrySchema).readonly(),
   commitIndex: index,
-  /** The leader's monotonic time of sending, echoed in the answer; milliseconds. */
+  /** Send time on the leader's monotonic clock in milliseconds; echoed in the answer. */
   sentAt: z.number(),
 });
 
 const appendAnswer = z.object({
   kind: z.literal('append-answer'),
   term,
-  from: member,
+  from: memberIdentity,
   success: z.boolean(),
-  /** On success the last index known equal; on failure the index to try from. */
+  /** On success the last matching index; on failure the index after which to retry. */
   matchIndex: index,
   sentAt: z.number(),
 });
 
-const campaignNow = z.object({ kind: z.literal('campaign-now'), term, from: member });
+const campaignNow = z.object({ kind: z.literal('campaign-now'), term, from: memberIdentity });
 
-/** One part of a snapshot, in order; the peer answers each with the part it needs next. */
+/** One part of a snapshot; the receiver answers each part with the number of the next one. */
 const snapshotPart = z.object({
   kind: z.literal('snapshot-part'),
   term,
-  from: member,
-  /** Position that the snapshot covers, and the membership in force there. */
+  from: memberIdentity,
+  /** Last position that the snapshot covers, and the membership in force there. */
   lastIndex: index,
   lastTerm: term,
   membership: membershipSchema,
@@ -78,17 +78,17 @@
 const snapshotAnswer = z.object({
   kind: z.literal('snapshot-answer'),
   term,
-  from: member,
+  from: memberIdentity,
   lastIndex: index,
   nextPart: z.int().nonnegative(),
   sentAt: z.number(),
 });
 
-/** What members of a replicated log say to one another; after the Raft paper (Ongaro, 2014). */
+/** Messages between members, based on Raft (Ongaro, 2014). */
 export const raftMessageSchema = z.discriminatedUnion('kind', [
   voteRequest,
   voteAnswer,
-  append,
+  appendRequest,
   appendAnswer,
   campaignNow,
   snapshotPart,
@@ -98,45 +98,43 @@
 export type RaftMessage = Readonly<z.output<typeof raftMessageSchema>>;
 export type VoteRequest = Readonly<z.output<typeof voteRequest>>;
 export type VoteAnswer = Readonly<z.output<typeof voteAnswer>>;
-export type AppendRequest = Readonly<z.output<typeof append>>;
+export type AppendRequest = Readonly<z.output<typeof appendRequest>>;
 export type AppendAnswer = Readonly<z.output<typeof appendAnswer>>;
 export type CampaignNow = Readonly<z.output<typeof campaignNow>>;
 export type SnapshotPart = Readonly<z.output<typeof snapshotPart>>;
 export type SnapshotAnswer = Readonly<z.output<typeof snapshotAnswer>>;
 
 /**
- * Says who a host is while it hears no leader: one that it is no member of takes it in, and hosts
- * that are all new found the log together.
+ * Announces a host that has no leader. An existing log adds the host as a member; if all hosts are
+ * new, they bootstrap the log together.
  */
 export const helloSchema = z.object({
   kind: z.literal('hello'),
-  from: member,
-  /** Whether it holds nothing yet, so that it can found a log with others like it. */
+  from: memberIdentity,
+  /** Whether the host has no entry, snapshot or membership, so that it can bootstrap a log. */
   isNew: z.boolean(),
-  /** Names of the hosts that its settings list, the one that is to lead first. */
+  /** Names of the hosts in the sender's host list, the preferred leader first. */
   hosts: z.array(z.string()).readonly(),
 });
 export type Hello = Readonly<z.output<typeof helloSchema>>;
 
-/** A message to one member, or a greeting to whoever runs on a host. */
+/** A message to one member, or a hello to a host. */
 export const envelopeSchema = z.object({
-  /** Identity of a member; for a greeting the name of a host. */
+  /** Identity of a member, or the name of a host for a hello. */
   to: z.string(),
   message: z.union([raftMessageSchema, helloSchema]),
 });
 export type Envelope = Readonly<z.output<typeof envelopeSchema>>;
 
-/** An envelope whose message needs no greeting first. */
 export interface RaftEnvelope extends Envelope {
   readonly message: RaftMessage;
 }
 
-/** Name of the host that an envelope goes to. */
 export function hostOf({ to }: Envelope): string {
   return to.includes('/') ? nameOf(to) : to;
 }
 
-/** The durable part of a member besides its log. */
+/** The durable state of a member apart from its log. */
 export interface HardState {
   readonly term: number;
   readonly votedFor: string | undefined;
--- a/src/replication/outbox.ts
+++ b/src/replication/outbox.ts
@@ -1,30 +1,30 @@
 import type { Membership } from './membership';
 import type { HardState, LogEntry, RaftEnvelope, RaftMessage } from './messages';
 
-/** What the driver of a member has to do next, in this order. */
+/** Work for the driver of a member, to be done in the order of the fields. */
 export interface RaftOutput {
-  /** To be sent at once. */
+  /** Messages to send at once. */
   readonly messages: readonly RaftEnvelope[];
-  /** To be synced, in this order. */
-  readonly founded: Membership | undefined;
+  /** This and the next three fields are written and synced in this order. */
+  readonly initialMembership: Membership | undefined;
   readonly hardState: HardState | undefined;
   readonly truncateFrom: number | undefined;
   readonly entries: readonly LogEntry[];
-  /** To be sent only once everything above is synced. */
+  /** Messages to send once all of the above is synced. */
   readonly messagesAfterSync: readonly RaftEnvelope[];
-  /** Peers that need entries which were dropped, and so a snapshot. */
-  readonly snapshotsFor: readonly string[];
+  /** Peers that need dropped entries and therefore a snapshot. */
+  readonly peersNeedingSnapshot: readonly string[];
 }
 
-/** Collects what a member asks of its driver between two calls. */
+/** Collects the work for a member's driver between two calls. */
 export class Outbox {
   #messages: RaftEnvelope[] = [];
   #messagesAfterSync: RaftEnvelope[] = [];
   #entries: LogEntry[] = [];
   #truncateFrom: number | undefined;
   #hardStateChanged = false;
-  #snapshotsFor: string[] = [];
-  #founded: Membership | undefined;
+  #peersNeedingSnapshot: string[] = [];
+  #initialMembership: Membership | undefined;
 
   send(to: string, message: RaftMessage): void {
     this.#messages.push({ to, message });
@@ -43,36 +43,36 @@
     this.#truncateFrom = Math.min(this.#truncateFrom ?? Infinity, index);
   }
 
-  hardStateChanged(): void {
+  markHardStateChanged(): void {
     this.#hardStateChanged = true;
   }
 
-  foundedBy(membership: Membership): void {
-    this.#founded = membership;
+  setInitialMembership(membership: Membership): void {
+    this.#initialMembership = membership;
   }
 
-  needsSnapshot(peer: string): void {
-    this.#snapshotsFor.push(peer);
+  requestSnapshot(peer: string): void {
+    this.#peersNeedingSnapshot.push(peer);
   }
 
-  /** Hands out everything collected; `hardState` is the present one. */
-  take(hardState: HardState): RaftOutput {
+  /** Returns and clears the collected work; `hardState` is the current one. */
+  drain(hardState: HardState): RaftOutput {
     const output: RaftOutput = {
       messages: this.#messages,
-      founded: this.#founded,
+      initialMembership: this.#initialMembership,
       hardState: this.#hardStateChanged ? hardState : undefined,
       truncateFrom: this.#truncateFrom,
       entries: this.#entries,
       messagesAfterSync: this.#messagesAfterSync,
-      snapshotsFor: this.#snapshotsFor,
+      peersNeedingSnapshot: this.#peersNeedingSnapshot,
     };
     this.#messages = [];
-    this.#founded = undefined;
+    this.#initialMembership = undefined;
     this.#messagesAfterSync = [];
     this.#entries = [];
     this.#truncateFrom = undefined;
     this.#hardStateChanged = false;
-    this.#snapshotsFor = [];
+    this.#peersNeedingSnapshot = [];
     return output;
   }
 }
--- a/src/replication/progress.ts
+++ b/src/replication/progress.ts
@@ -1,32 +1,32 @@
 import { type Membership, allMembers, quorumOf } from './membership';
 
-/** What a leader knows of one peer. */
-export interface Progress {
+/** Replication progress of one peer, as known to the leader. */
+export interface PeerProgress {
   nextIndex: number;
   matchIndex: number;
-  /** Sending time of the newest message that the peer has answered; none yet: -Infinity. */
+  /** Send time of the newest answered message, monotonic milliseconds; -Infinity if none. */
   answeredAt: number;
-  /** An append with entries is under way; only heartbeats repeat it. */
-  inFlight: boolean;
-  /** A snapshot is under way, since entries that the peer needs were dropped. */
-  installing: boolean;
+  /** An append with entries is unanswered; only heartbeats resend it. */
+  appendInFlight: boolean;
+  /** A snapshot is being sent, since entries that the peer needs were dropped. */
+  snapshotInFlight: boolean;
 }
 
-/** A leader's view of its peers, and what a quorum of voters has reached. */
+/** Progress of a leader's peers, and the values that a quorum of voters has reached. */
 export class ProgressTable {
   readonly #self: string;
-  readonly #peers = new Map<string, Progress>();
+  readonly #peers = new Map<string, PeerProgress>();
   #membership: Membership = { voters: [], learners: [] };
 
   constructor(self: string) {
     this.#self = self;
   }
 
-  get peers(): ReadonlyMap<string, Progress> {
+  get peers(): ReadonlyMap<string, PeerProgress> {
     return this.#peers;
   }
 
-  get(peer: string): Progress | undefined {
+  get(peer: string): PeerProgress | undefined {
     return this.#peers.get(peer);
   }
 
@@ -35,10 +35,10 @@
   }
 
   /**
-   * Takes a membership over. Of a peer that is new nothing is known yet; `answeredAt` is what
-   * counts as its last answer until it gives one.
+   * Adds and removes peers to match a membership. `answeredAt` is the last answer time assumed for
+   * a new peer.
    */
-  follow(membership: Membership, lastIndex: number, answeredAt: number): void {
+  applyMembership(membership: Membership, lastIndex: number, answeredAt: number): void {
     this.#membership = membership;
     const members = allMembers(membership).filter((member) => member !== this.#self);
     for (const peer of [...this.#peers.keys()]) {
@@ -47,23 +47,23 @@
     for (const peer of members) {
       if (this.#peers.has(peer)) continue;
       const nextIndex = lastIndex + 1;
-      const unknown = { matchIndex: 0, inFlight: false, installing: false };
-      this.#peers.set(peer, { ...unknown, nextIndex, answeredAt });
+      const initial = { matchIndex: 0, appendInFlight: false, snapshotInFlight: false };
+      this.#peers.set(peer, { ...initial, nextIndex, answeredAt });
     }
   }
 
-  /** Highest index that a quorum has synced, the leader's own included if it votes. */
-  quorumMatch(ownIndex: number): number {
+  /** Highest index synced by a quorum; `ownIndex` counts if the leader is a voter. */
+  quorumMatchIndex(ownIndex: number): number {
     return this.#quorumValue(ownIndex, (progress) => progress.matchIndex);
   }
 
-  /** Newest time at which a quorum, the leader included, is known to have followed. */
+  /** Newest send time of messages that a quorum has answered; the leader counts as `now`. */
   quorumAnsweredAt(now: number): number {
     return this.#quorumValue(now, (progress) => progress.answeredAt);
   }
 
-  /** The voter whose log is furthest along, the most responsive one among equals. */
-  furthest(): readonly [string, Progress] | undefined {
+  /** The voter with the highest matching index; among equals, the one that answered last. */
+  mostUpToDate(): readonly [string, PeerProgress] | undefined {
     const [best] = [...this.#peers]
       .filter(([peer]) => this.#membership.voters.includes(peer))
       .sort(
@@ -73,7 +73,7 @@
     return best;
   }
 
-  #quorumValue(own: number, valueOf: (progress: Progress) => number): number {
+  #quorumValue(own: number, valueOf: (progress: PeerProgress) => number): number {
     const values = this.#membership.voters.map((voter) => {
       if (voter === this.#self) return own;
       const progress = this.#peers.get(voter);
--- a/src/replication/proposals.ts
+++ b/src/replication/proposals.ts
@@ -1,34 +1,37 @@
 import { ReplicationError } from './errors';
 import type { LogEntry } from './messages';
 
-interface Proposal<Result> {
+interface PendingProposal<Result> {
   readonly term: number;
   readonly resolve: (result: Result) => void;
   readonly reject: (error: ReplicationError) => void;
 }
 
-/** Commands that this member proposed and whose results are awaited, by index. */
-export class Proposals<Result> {
-  readonly #waiting = new Map<number, Proposal<Result>>();
+/** Commands proposed by this member that await their results, by index. */
+export class PendingProposals<Result> {
+  readonly #pending = new Map<number, PendingProposal<Result>>();
 
-  /** Resolves with the result of the entry at `index`, if it is the one of this term. */
-  wait(index: number, term: number): Promise<Result> {
+  /** Resolves with the result of the entry at `index`; rejects if its term differs. */
+  resultOf(index: number, term: number): Promise<Result> {
     return new Promise((resolve, reject) => {
-      this.#waiting.set(index, { term, resolve, reject });
+      this.#pending.set(index, { term, resolve, reject });
     });
   }
 
-  /** Settles what waits for an entry that was applied. */
+  /** Resolves or rejects the proposal at the index of an applied entry. */
   settle(entry: LogEntry, result: Result): void {
-    const proposal = this.#waiting.get(entry.index);
-    this.#waiting.delete(entry.index);
+    const proposal = this.#pending.get(entry.index);
+    this.#pending.delete(entry.index);
     if (proposal?.term === entry.term) proposal.resolve(result);
-    else proposal?.reject(new ReplicationError('uncertain', 'another leader wrote at this index'));
+    else
+      proposal?.reject(
+        new ReplicationError('uncertain', 'another entry was committed at this index'),
+      );
   }
 
   rejectAll(message: string): void {
-    const waiting = [...this.#waiting.values()];
-    this.#waiting.clear();
-    for (const proposal of waiting) proposal.reject(new ReplicationError('uncertain', message));
+    const proposals = [...this.#pending.values()];
+    this.#pending.clear();
+    for (const proposal of proposals) proposal.reject(new ReplicationError('uncertain', message));
   }
 }
--- a/src/replication/raft-options.ts
+++ b/src/replication/raft-options.ts
@@ -1,12 +1,10 @@
 import type { RandomSource } from '../core';
-import type { MemberLogOptions } from './member-log';
+import type { RaftLogOptions } from './member-log';
 import type { HardState } from './messages';
 
-/** What a member does at present. */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
 
-/** How a member is set up; times in milliseconds. */
-export interface RaftOptions extends MemberLogOptions {
+export interface RaftOptions extends RaftLogOptions {
   /** Identity of this member. */
   readonly self: string;
   readonly random: RandomSource;
--- a/src/replication/raft.ts
+++ b/src/replication/raft.ts
@@ -1,9 +1,9 @@
-import { Ballot, type Candidacy } from './ballot';
+import { ElectionState, type CampaignKind } from './ballot';
 import { ElectionTimer } from './election-timer';
-import { MemberLog, type SnapshottedLog } from './member-log';
+import { RaftLog, type CompactableLog } from './member-log';
 import type { Membership } from './membership';
 import { Outbox, type RaftOutput } from './outbox';
-import type { Progress } from './progress';
+import type { PeerProgress } from './progress';
 import type {
   AppendAnswer,
   AppendRequest,
@@ -18,48 +18,48 @@
 import type { RaftOptions, RaftRole } from './raft-options';
 import { Replicator } from './replicator';
 
-const PRE_VOTE: Candidacy = { preVote: true, transfer: false };
-const ELECTION: Candidacy = { preVote: false, transfer: false };
-const HANDED_OVER: Candidacy = { preVote: false, transfer: true };
+const PRE_VOTE: CampaignKind = { preVote: true, transfer: false };
+const ELECTION: CampaignKind = { preVote: false, transfer: false };
+const LEADERSHIP_TRANSFER: CampaignKind = { preVote: false, transfer: true };
 
-/** Silence of a quorum, in election times, after which a leader steps down. */
-const QUORUM_ELECTION_TIMES = 2;
+/** Election timeouts without answers of a quorum after which a leader steps down. */
+const CHECK_QUORUM_ELECTION_TIMEOUTS = 2;
 
 /**
  * One member of a replicated log: Raft with pre-vote, check-quorum and leadership transfer, as a
- * pure state machine. It does no input or output and reads no clock; the driver passes monotonic
- * time in, and carries out what {@link takeOutput} returns.
+ * state machine without I/O or a clock. The driver passes in monotonic milliseconds and carries out
+ * the output of {@link takeOutput}.
  */
 export class RaftMember {
   readonly #self: string;
-  readonly #timer: ElectionTimer;
+  readonly #electionTimer: ElectionTimer;
   readonly #outbox = new Outbox();
-  readonly #log: MemberLog;
+  readonly #log: RaftLog;
   readonly #replicator: Replicator;
-  readonly #ballot: Ballot;
+  readonly #election: ElectionState;
 
   #role: RaftRole = 'follower';
   #leader: string | undefined;
   #leaderSince = 0;
-  #firstOwnIndex = 0;
+  #termStartIndex = 0;
   #transferring = false;
-  #transferredAt = 0;
-  /** The membership without this member is committed; it steps down once its peers know. */
+  #transferStartedAt = 0;
+  /** A membership without this member is committed; it steps down after one more heartbeat. */
   #removed = false;
 
   constructor(options: RaftOptions) {
     const { self, random, hardState } = options;
     const { heartbeatMilliseconds = 100, electionMilliseconds = 500 } = options;
     this.#self = self;
-    this.#timer = new ElectionTimer(electionMilliseconds, random);
-    this.#log = new MemberLog(options, this.#outbox);
+    this.#electionTimer = new ElectionTimer(electionMilliseconds, random);
+    this.#log = new RaftLog(options, this.#outbox);
     this.#replicator = new Replicator({
       self,
       log: this.#log,
       outbox: this.#outbox,
       heartbeatMilliseconds,
     });
-    this.#ballot = new Ballot(self, this.#outbox, hardState);
+    this.#election = new ElectionState(self, this.#outbox, hardState);
   }
 
   get role(): RaftRole {
@@ -67,7 +67,7 @@
   }
 
   get term(): number {
-    return this.#ballot.term;
+    return this.#election.term;
   }
 
   get leader(): string | undefined {
@@ -86,8 +86,7 @@
     return this.#log.lastTerm;
   }
 
-  /** Its log, for who takes, installs and compacts to snapshots. */
-  get log(): SnapshottedLog {
+  get log(): CompactableLog {
     return this.#log;
   }
 
@@ -96,67 +95,67 @@
     return this.#log.membership;
   }
 
-  /** Whether it holds nothing: no entry, no snapshot and no membership. */
+  /** Whether the log has no entry, no snapshot and no membership. */
   get isNew(): boolean {
     return this.#log.isNew;
   }
 
-  /** Whether no leader was heard, or known to follow, for a few election times. */
+  /** Whether no leader, including this member, has been known for several election timeouts. */
   isLeaderless(now: number): boolean {
-    return this.#role !== 'leader' && this.#timer.isLeaderless(now);
+    return this.#role !== 'leader' && this.#electionTimer.isLeaderless(now);
   }
 
   get hardState(): HardState {
-    return this.#ballot.hardState;
+    return this.#election.hardState;
   }
 
-  /** What a leader knows of its peers. */
-  get peers(): ReadonlyMap<string, Readonly<Progress>> {
+  /** Progress by peer; empty while this member does not lead. */
+  get peers(): ReadonlyMap<string, Readonly<PeerProgress>> {
     return this.#replicator.peers;
   }
 
-  /** Whether this leader has committed an entry of its own term, so that its state is current. */
+  /** Whether this leader has committed an entry of its own term, so its state is up to date. */
   get ready(): boolean {
-    return this.#role === 'leader' && this.commitIndex >= this.#firstOwnIndex;
+    return this.#role === 'leader' && this.commitIndex >= this.#termStartIndex;
   }
 
-  /** Monotonic time since which this member leads. */
+  /** Monotonic time in milliseconds of the last election won by this member. */
   get leaderSince(): number {
     return this.#leaderSince;
   }
 
   /**
-   * Whether reads at this leader are linearizable now: a quorum answered messages sent so lately
-   * that no other member can have been elected, allowing for clock drift.
+   * Whether reads at this leader are linearizable now: a quorum answered messages sent within the
+   * read lease, so no other member can have been elected, allowing for clock drift.
    */
   hasReadLease(now: number): boolean {
     if (!this.ready || this.#transferring) return false;
-    return this.#replicator.quorumAnsweredAt(now) + this.#timer.leaseMilliseconds > now;
+    return this.#replicator.quorumAnsweredAt(now) + this.#electionTimer.readLeaseMilliseconds > now;
   }
 
   /**
-   * Starts the timers; the first election is due after a random wait. A member grants no vote for
-   * one election time after its start, since it may have promised a leader's lease before.
+   * Starts the election timer with a random delay. A member grants no vote for one election timeout
+   * after its start, since a leader's read lease may rest on an answer given before a restart.
    */
   start(now: number): void {
-    this.#timer.hearLeader(now);
-    this.#campaignAlone(now);
+    this.#electionTimer.recordLeaderContact(now);
+    this.#campaignIfOnlyVoter(now);
   }
 
   /**
-   * Founds the log: the first membership, of hosts that all have nothing yet. Every founder must
-   * name the same voters.
+   * Sets the initial membership of a log whose hosts are all new. Every host that bootstraps the
+   * log must pass the same voters.
    */
-  found(membership: Membership, now: number): void {
+  bootstrap(membership: Membership, now: number): void {
     if (!this.isNew) return;
-    this.#log.found(membership);
-    this.#campaignAlone(now);
+    this.#log.bootstrap(membership);
+    this.#campaignIfOnlyVoter(now);
   }
 
-  /** To be called at least every heartbeat time. */
+  /** Must be called at least once per heartbeat interval. */
   tick(now: number): void {
     if (this.#role !== 'leader') {
-      if (this.#timer.isDue(now) && this.#isVoter) this.#campaign(now, PRE_VOTE);
+      if (this.#electionTimer.isDue(now) && this.#isVoter) this.#campaign(now, PRE_VOTE);
       return;
     }
     if (this.#removed) {
@@ -164,62 +163,65 @@
       this.#becomeFollower(this.term, undefined, now);
       return;
     }
-    const { electionMilliseconds } = this.#timer;
-    const silence = now - this.#replicator.quorumAnsweredAt(now);
-    const isCutOff = silence > electionMilliseconds * QUORUM_ELECTION_TIMES;
-    const isOverdue = this.#transferring && now - this.#transferredAt > electionMilliseconds;
-    if (isCutOff || isOverdue) this.#becomeFollower(this.term, undefined, now);
-    else this.#replicator.beat(now);
+    const { electionMilliseconds } = this.#electionTimer;
+    const sinceQuorumAnswer = now - this.#replicator.quorumAnsweredAt(now);
+    const hasLostQuorum = sinceQuorumAnswer > electionMilliseconds * CHECK_QUORUM_ELECTION_TIMEOUTS;
+    const timedOut = this.#transferring && now - this.#transferStartedAt > electionMilliseconds;
+    if (hasLostQuorum || timedOut) this.#becomeFollower(this.term, undefined, now);
+    else this.#replicator.sendHeartbeatIfDue(now);
   }
 
-  /** Adds a command; returns its index, or nothing when this member does not lead. */
+  /** Appends a command; returns its index, or undefined if not the leader or during a transfer. */
   propose(command: string, now: number): number | undefined {
     if (this.#role !== 'leader' || this.#transferring) return undefined;
-    const index = this.#log.add(this.term, { command });
+    const index = this.#log.appendEntry(this.term, { command });
     this.#replicator.broadcast(now, false);
     return index;
   }
 
   /**
    * Whether this leader may change the membership: one change at a time, and none before an entry
-   * of its own term is committed (Ongaro's correction of single-server changes).
+   * of its own term is committed (Ongaro's fix for single-server changes).
    */
-  get mayChangeMembership(): boolean {
+  get canChangeMembership(): boolean {
     return this.ready && !this.#transferring && this.#log.isMembershipCommitted;
   }
 
-  /** Changes the membership by one member; returns whether this member may do so now. */
+  /** Appends a membership that differs by one member; returns false if not allowed now. */
   changeMembership(membership: Membership, now: number): boolean {
-    if (!this.mayChangeMembership) return false;
-    this.#log.add(this.term, { command: '', membership });
-    this.#replicator.followMembership();
+    if (!this.canChangeMembership) return false;
+    this.#log.appendEntry(this.term, { command: '', membership });
+    this.#replicator.applyMembership();
     this.#replicator.broadcast(now, true);
     return true;
   }
 
-  /** Tells that the log up to the entry with this index and term is synced. */
-  synced(index: number, term: number): void {
-    if (this.#log.noteSynced(index, term) && this.#role === 'leader') this.#advanceCommit();
+  /** Records that the log is synced up to the entry with this index and term. */
+  recordSynced(index: number, term: number): void {
+    if (this.#log.recordSynced(index, term) && this.#role === 'leader') this.#advanceCommit();
   }
 
-  /** Hands leadership to a peer: the voter that is furthest along unless one is named. */
+  /**
+   * Transfers leadership to `to`, by default the most up-to-date voter. If that peer lacks entries,
+   * sends them instead; the caller has to try again.
+   */
   transferLeadership(now: number, to?: string): void {
     if (this.#role !== 'leader') return;
-    const peer = to ?? this.#replicator.furthestPeer;
+    const peer = to ?? this.#replicator.mostUpToDatePeer;
     if (peer === undefined || !this.peers.has(peer)) return;
-    if (this.#replicator.catchUp(peer, now)) return;
-    if (!this.#transferring) this.#transferredAt = now;
+    if (this.#replicator.sendMissingEntries(peer, now)) return;
+    if (!this.#transferring) this.#transferStartedAt = now;
     this.#transferring = true;
     this.#outbox.send(peer, { kind: 'campaign-now', term: this.term, from: this.#self });
   }
 
-  /** Tells that a snapshot for a peer came to nothing, so that another one is made. */
+  /** Reports an aborted snapshot transfer, so that another snapshot is requested. */
   snapshotFailed(peer: string): void {
     this.#replicator.snapshotFailed(peer);
   }
 
   receive(message: RaftMessage, now: number): void {
-    if (message.term > this.term && this.#followsTerm(message, now)) {
+    if (message.term > this.term && this.#adoptsTermOf(message, now)) {
       const leads = message.kind === 'append' || message.kind === 'snapshot-part';
       const leader = leads ? message.from : undefined;
       this.#becomeFollower(message.term, leader, now);
@@ -241,48 +243,51 @@
         this.#onCampaignNow(message, now);
         return;
       case 'snapshot-part':
-        this.#hearLeader(message, now);
+        this.#acceptLeader(message, now);
         return;
       case 'snapshot-answer':
-        if (this.#isMine(message)) this.#replicator.hear(message);
+        if (this.#isForCurrentTerm(message)) this.#replicator.recordAnswer(message);
     }
   }
 
-  /** Returns what is to be done since the last call. */
+  /** Returns the work collected since the last call. */
   takeOutput(): RaftOutput {
-    return this.#outbox.take(this.hardState);
+    return this.#outbox.drain(this.hardState);
   }
 
-  /** A pre-vote and its refusal carry terms that nobody has entered yet. */
-  #followsTerm(message: RaftMessage, now: number): boolean {
+  /**
+   * Whether to move to the newer term of a message. Pre-vote requests and granted pre-votes carry a
+   * term that no member is in yet.
+   */
+  #adoptsTermOf(message: RaftMessage, now: number): boolean {
     if (message.kind === 'vote-request') {
-      return !message.preVote && !this.#leaderStands(message, now);
+      return !message.preVote && !this.#isBlockedByLeader(message, now);
     }
     return !(message.kind === 'vote-answer' && message.preVote && message.granted);
   }
 
-  /** Whether a live leader speaks against an election that it did not ask for. */
-  #leaderStands(request: VoteRequest, now: number): boolean {
-    return !request.transfer && this.#timer.isLeaderLive(now);
+  /** Whether a recent leader, which did not request this election, prevents a vote. */
+  #isBlockedByLeader(request: VoteRequest, now: number): boolean {
+    return !request.transfer && this.#electionTimer.hasRecentLeader(now);
   }
 
   #onVoteRequest(request: VoteRequest, now: number): void {
     const granted = this.#grantsVote(request, now);
-    this.#ballot.answer(request, granted);
-    if (granted && !request.preVote) this.#timer.reset(now);
+    this.#election.answerRequest(request, granted);
+    if (granted && !request.preVote) this.#electionTimer.reset(now);
   }
 
   #grantsVote(request: VoteRequest, now: number): boolean {
     const leads = this.#role === 'leader' && !this.#transferring;
     const isUpToDate = this.#log.isCoveredBy({ index: request.lastIndex, term: request.lastTerm });
-    const isFree = this.#ballot.isFreeFor(request);
-    return isUpToDate && isFree && !leads && !this.#leaderStands(request, now);
+    const isFree = this.#election.canVoteFor(request);
+    return isUpToDate && isFree && !leads && !this.#isBlockedByLeader(request, now);
   }
 
   #onVoteAnswer(answer: VoteAnswer, now: number): void {
     const expected = answer.preVote ? 'pre-candidate' : 'candidate';
     if (this.#role !== expected) return;
-    this.#ballot.take(answer);
+    this.#election.recordAnswer(answer);
     this.#countVotes(now);
   }
 
@@ -291,22 +296,22 @@
       this.#answerAppend(append, false, this.lastIndex);
       return;
     }
-    this.#hearLeader(append, now);
+    this.#acceptLeader(append, now);
     const retryIndex = this.#log.findRetryIndex(append);
     if (retryIndex !== undefined) this.#answerAppend(append, false, retryIndex);
-    else this.#answerAppend(append, true, this.#log.follow(append));
+    else this.#answerAppend(append, true, this.#log.appendFromLeader(append));
   }
 
-  /** Follows whoever leads the present term. */
-  #hearLeader(message: AppendRequest | SnapshotPart, now: number): void {
+  /** Follows the sender as the leader of the current term; ignores older terms. */
+  #acceptLeader(message: AppendRequest | SnapshotPart, now: number): void {
     if (message.term < this.term) return;
     if (this.#role !== 'follower') this.#becomeFollower(message.term, message.from, now);
     this.#leader = message.from;
-    this.#timer.hearLeader(now);
+    this.#electionTimer.recordLeaderContact(now);
   }
 
-  /** Whether an answer is to this leader in its present term. */
-  #isMine(answer: AppendAnswer | SnapshotAnswer): boolean {
+  /** Whether this member leads in the term of an answer. */
+  #isForCurrentTerm(answer: AppendAnswer | SnapshotAnswer): boolean {
     return this.#role === 'leader' && answer.term === this.term;
   }
 
@@ -319,29 +324,29 @@
       matchIndex,
       sentAt: append.sentAt,
     } as const;
-    const rests = success && matchIndex > this.#log.syncedIndex;
-    if (rests || append.entries.length > 0) this.#outbox.sendAfterSync(append.from, answer);
+    const awaitsSync = success && matchIndex > this.#log.syncedIndex;
+    if (awaitsSync || append.entries.length > 0) this.#outbox.sendAfterSync(append.from, answer);
     else this.#outbox.send(append.from, answer);
   }
 
   #onAppendAnswer(answer: AppendAnswer, now: number): void {
-    if (!this.#isMine(answer)) return;
-    this.#replicator.take(answer);
+    if (!this.#isForCurrentTerm(answer)) return;
+    this.#replicator.recordAppendAnswer(answer);
     if (answer.success) this.#advanceCommit();
-    this.#replicator.goOn(answer.from, now);
+    this.#replicator.sendNextEntries(answer.from, now);
   }
 
   #onCampaignNow(message: CampaignNow, now: number): void {
     const follows = message.term === this.term && this.#role === 'follower';
-    if (follows && this.#isVoter) this.#campaign(now, HANDED_OVER);
+    if (follows && this.#isVoter) this.#campaign(now, LEADERSHIP_TRANSFER);
   }
 
-  #campaign(now: number, candidacy: Candidacy): void {
+  #campaign(now: number, kind: CampaignKind): void {
     const { voters } = this.membership;
-    this.#timer.resetForRetry(now);
+    this.#electionTimer.resetForRetry(now);
     this.#leader = undefined;
-    this.#role = candidacy.preVote ? 'pre-candidate' : 'candidate';
-    this.#ballot.stand(candidacy, voters, { index: this.lastIndex, term: this.lastTerm });
+    this.#role = kind.preVote ? 'pre-candidate' : 'candidate';
+    this.#election.requestVotes(kind, voters, { index: this.lastIndex, term: this.lastTerm });
     this.#countVotes(now);
   }
 
@@ -349,13 +354,12 @@
     return this.membership.voters.includes(this.#self);
   }
 
-  /** The only voter need not wait for others. */
-  #campaignAlone(now: number): void {
+  #campaignIfOnlyVoter(now: number): void {
     if (this.#isVoter && this.membership.voters.length === 1) this.#campaign(now, ELECTION);
   }
 
   #countVotes(now: number): void {
-    if (!this.#ballot.isWon(this.membership)) return;
+    if (!this.#election.isWon(this.membership)) return;
     if (this.#role === 'pre-candidate') this.#campaign(now, ELECTION);
     else this.#becomeLeader(now);
   }
@@ -365,9 +369,9 @@
     this.#leader = this.#self;
     this.#leaderSince = now;
     this.#transferring = false;
-    this.#replicator.lead(this.term, now);
+    this.#replicator.startTerm(this.term, now);
     const isFirst = this.lastIndex === 0;
-    this.#firstOwnIndex = this.#log.add(this.term, {
+    this.#termStartIndex = this.#log.appendEntry(this.term, {
       command: '',
       ...(isFirst ? { membership: this.membership } : {}),
     });
@@ -375,17 +379,17 @@
   }
 
   #becomeFollower(term: number, leader: string | undefined, now: number): void {
-    this.#ballot.enter(term);
+    this.#election.advanceToTerm(term);
     this.#role = 'follower';
     this.#leader = leader;
     this.#removed = false;
     this.#transferring = false;
-    this.#replicator.end();
-    this.#timer.reset(now);
+    this.#replicator.clear();
+    this.#electionTimer.reset(now);
   }
 
   #advanceCommit(): void {
-    if (!this.#log.commitTo(this.#replicator.quorumIndex, this.term)) return;
+    if (!this.#log.commitTo(this.#replicator.quorumMatchIndex, this.term)) return;
     if (this.#log.isMembershipCommitted && !this.#isVoter) this.#removed = true;
   }
 }
--- a/src/replication/replicated-log.ts
+++ b/src/replication/replicated-log.ts
@@ -1,59 +1,59 @@
 import { type CancelTimer, type Component, repeat } from '../core';
 import { ReplicationError } from './errors';
 import { Compactor } from './compactor';
-import { handOver } from './hand-over';
+import { transferLeadershipWithRetry } from './hand-over';
 import { type Membership, identityOf } from './membership';
-import { MembershipKeeper } from './membership-keeper';
+import { MembershipReconciler } from './membership-keeper';
 import type { LogView, ReplicatedLogOptions } from './log-options';
 import type { Envelope, LogEntry, RaftMessage, SnapshotPart } from './messages';
 import { OutputWriter } from './output-writer';
-import { Proposals } from './proposals';
+import { PendingProposals } from './proposals';
 import { RaftMember } from './raft';
 import { type StoredMember, loadMember } from './records';
 import { SnapshotExchange } from './snapshot-exchange';
 import { type ReceivedSnapshot, buildInstalledAnswer } from './snapshot-transfer';
 
-/** Silence of a member, in election times, after which it counts as silent. */
-const SILENT_ELECTION_TIMES = 2;
+/** Election timeouts without an answer after which a member counts as unresponsive. */
+const UNRESPONSIVE_ELECTION_TIMEOUTS = 2;
 
-/** What is made once the store was read. */
-interface Parts {
+/** Created once the store has been read. */
+interface LogComponents {
   readonly member: RaftMember;
-  readonly snapshots: SnapshotExchange;
-  readonly keeper: MembershipKeeper;
+  readonly snapshotExchange: SnapshotExchange;
+  readonly membershipReconciler: MembershipReconciler;
   readonly compactor: Compactor;
 }
 
 type Send = (envelope: Envelope) => void;
 
-/** Longest wait for another member to take over at a planned stop, in election times. */
-const TRANSFER_ELECTION_TIMES = 4;
+/** Maximum duration of a leadership transfer before a planned stop, in election timeouts. */
+const LEADERSHIP_TRANSFER_ELECTION_TIMEOUTS = 4;
 
 /**
- * Runs one {@link RaftMember}: syncs its records, sends its messages, applies what commits, takes
- * and sends snapshots, and brings the membership to the hosts that are listed.
+ * Drives one {@link RaftMember}: syncs its records, sends its messages, applies committed entries,
+ * takes and sends snapshots, and adapts the membership to the host list.
  */
 export class ReplicatedLog<Result> implements Component, LogView {
   readonly #options: ReplicatedLogOptions<Result>;
-  readonly #proposals = new Proposals<Result>();
-  readonly #writer: OutputWriter;
+  readonly #proposals = new PendingProposals<Result>();
+  readonly #outputWriter: OutputWriter;
   #incarnation = '';
-  #parts: Parts | undefined;
+  #running: LogComponents | undefined;
   #cancelTick: CancelTimer = () => undefined;
   #appliedIndex = 0;
   #installing = false;
   #failed = false;
-  #handingOver: Promise<void> | undefined;
-  #lastChange = '';
+  #leadershipTransfer: Promise<void> | undefined;
+  #lastNotifiedState = '';
   #changeListeners: (() => void)[] = [];
 
   constructor(options: ReplicatedLogOptions<Result>) {
     this.#options = options;
-    this.#writer = new OutputWriter({
+    this.#outputWriter = new OutputWriter({
       store: options.store,
       onSynced: ({ lastIndex, lastTerm }) => {
-        this.#member.synced(lastIndex, lastTerm);
-        void this.#pump();
+        this.#member.recordSynced(lastIndex, lastTerm);
+        void this.#processOutput();
       },
       onFailure: (error) => {
         this.#fail(error);
@@ -66,7 +66,7 @@
     const { heartbeatMilliseconds = 100 } = this.#options;
     const stored = await loadMember(store, () => random.hex(8));
     this.#incarnation = stored.incarnation;
-    this.#parts = this.#build(stored);
+    this.#running = this.#build(stored);
     if (stored.base.index > 0) machine.restore(stored.rows);
     this.#appliedIndex = stored.base.index;
     this.#member.start(clock.monotonic());
@@ -78,25 +78,25 @@
     });
   }
 
-  #build(stored: StoredMember): Parts {
+  #build(stored: StoredMember): LogComponents {
     const { self, hosts, store, machine, electionMilliseconds = 500 } = this.#options;
     const { identity } = this;
     const member = new RaftMember({ ...this.#options, ...stored, self: identity });
     return {
       member,
-      snapshots: new SnapshotExchange({
+      snapshotExchange: new SnapshotExchange({
         self: identity,
         send: this.#sendByTransport,
         onFailure: (peer) => {
           member.snapshotFailed(peer);
         },
       }),
-      keeper: new MembershipKeeper({
+      membershipReconciler: new MembershipReconciler({
         self,
         identity,
         hosts,
         send: this.#sendByTransport,
-        silenceMilliseconds: electionMilliseconds * SILENT_ELECTION_TIMES,
+        unresponsiveMilliseconds: electionMilliseconds * UNRESPONSIVE_ELECTION_TIMEOUTS,
         onChange: (membership, reason) => this.#options.onMembership?.(membership, reason),
       }),
       compactor: new Compactor({
@@ -109,33 +109,33 @@
     };
   }
 
-  /** Hands leadership over, syncs what is under way and closes the store. */
+  /** Transfers leadership, waits for pending writes and closes the store. */
   async stop(): Promise<void> {
     await this.handOver();
     this.#cancelTick();
     this.#failed = true;
-    this.#writer.stop();
-    this.#proposals.rejectAll('the member is stopping');
-    await this.#writer.idle;
+    this.#outputWriter.stop();
+    this.#proposals.rejectAll('member stopped with the command pending');
+    await this.#outputWriter.idle;
     await this.#options.store.close();
   }
 
-  /** This life of this member. */
+  /** Host name and incarnation of this member; valid after {@link start}. */
   get identity(): string {
     return identityOf(this.#options.self, this.#incarnation);
   }
 
   get role(): RaftMember['role'] {
-    return this.#parts?.member.role ?? 'follower';
+    return this.#running?.member.role ?? 'follower';
   }
 
   get term(): number {
-    return this.#parts?.member.term ?? 0;
+    return this.#running?.member.term ?? 0;
   }
 
   /** Identity of the leader, if one is known. */
   get leader(): string | undefined {
-    return this.#parts?.member.leader;
+    return this.#running?.member.leader;
   }
 
   get membership(): Membership {
@@ -146,62 +146,65 @@
     return this.#appliedIndex;
   }
 
-  /** Whether this member counts for a quorum. */
+  /** Whether this member is a voter. */
   get votes(): boolean {
     return this.membership.voters.includes(this.identity);
   }
 
-  /** Members that have not answered this leader for a while. */
+  /** Identities of members that have not answered this leader recently. */
   get silentMembers(): readonly string[] {
     const now = this.#options.clock.monotonic();
-    return this.#started.keeper.silentMembers(this.#member, now);
+    return this.#started.membershipReconciler.unresponsiveMembers(this.#member, now);
   }
 
-  /** Monotonic time at which this member began to lead, while it leads; milliseconds. */
+  /** Monotonic time of the last election won by this member, in milliseconds. */
   get leaderSince(): number {
     return this.#member.leaderSince;
   }
 
-  /** Entries held in memory behind the last snapshot. */
-  get entriesHeld(): number {
+  /** Number of entries in memory. */
+  get entriesInMemory(): number {
     return this.#member.lastIndex - this.#member.log.base.index;
   }
 
-  /** Whether this member leads and its state holds every acknowledged command. */
+  /** Whether this member leads and its state includes every acknowledged command. */
   get serves(): boolean {
-    if (this.#failed || this.#parts === undefined) return false;
+    if (this.#failed || this.#running === undefined) return false;
     return this.#member.hasReadLease(this.#options.clock.monotonic());
   }
 
-  /** Resolves with the state machine's result once the command is committed and applied. */
+  /**
+   * Resolves with the state machine's result once the command is committed and applied; rejects with
+   * a {@link ReplicationError}.
+   */
   propose(command: string): Promise<Result> {
     const now = this.#options.clock.monotonic();
     const index = this.#failed ? undefined : this.#member.propose(command, now);
     if (index === undefined) {
-      const error = new ReplicationError('not-leader', 'this member does not lead');
+      const error = new ReplicationError('not-leader', 'this member is not the leader');
       return Promise.reject(error);
     }
-    const result = this.#proposals.wait(index, this.#member.term);
-    void this.#pump();
+    const result = this.#proposals.resultOf(index, this.#member.term);
+    void this.#processOutput();
     return result;
   }
 
-  /** Takes messages from other members; what they cause goes out through the transport. */
+  /** Processes messages of other members; resulting messages are sent through the transport. */
   receive(envelopes: readonly Envelope[]): void {
-    this.#feed(envelopes);
-    void this.#pump();
+    this.#deliver(envelopes);
+    void this.#processOutput();
   }
 
   /**
-   * Takes messages that one member sent, and resolves with the answers to it once everything they
-   * rest on is synced; what they cause for other members goes through the transport.
+   * Processes messages of one member and resolves with the answers to it, once the records that they
+   * depend on are synced. Messages to other members are sent through the transport.
    */
   async exchange(envelopes: readonly Envelope[]): Promise<readonly Envelope[]> {
-    const asker = envelopes[0]?.message.from;
+    const sender = envelopes[0]?.message.from;
     const answers: Envelope[] = [];
-    this.#feed(envelopes);
-    await this.#pump((envelope) => {
-      if (envelope.to === asker) answers.push(envelope);
+    this.#deliver(envelopes);
+    await this.#processOutput((envelope) => {
+      if (envelope.to === sender) answers.push(envelope);
       else this.#options.transport.send(envelope);
     });
     return answers;
@@ -212,58 +215,58 @@
     const now = this.#options.clock.monotonic();
     const member = this.#member;
     member.tick(now);
-    this.#started.snapshots.tick(member.role === 'leader' ? member.term : undefined, now);
-    this.#started.keeper.tick(member, now);
-    void this.#pump();
+    this.#started.snapshotExchange.tick(member.role === 'leader' ? member.term : undefined, now);
+    this.#started.membershipReconciler.tick(member, now);
+    void this.#processOutput();
   }
 
-  #feed(envelopes: readonly Envelope[]): void {
-    if (this.#failed || this.#installing || this.#parts === undefined) return;
-    const { member, keeper } = this.#parts;
+  #deliver(envelopes: readonly Envelope[]): void {
+    if (this.#failed || this.#installing || this.#running === undefined) return;
+    const { member, membershipReconciler } = this.#running;
     const now = this.#options.clock.monotonic();
     for (const { to, message } of envelopes) {
-      if (message.kind === 'hello') keeper.hear(message, now);
-      else if (to === this.identity) this.#feedOne(member, message, now);
+      if (message.kind === 'hello') membershipReconciler.receiveHello(message, now);
+      else if (to === this.identity) this.#deliverOne(member, message, now);
     }
   }
 
-  #feedOne(member: RaftMember, message: RaftMessage, now: number): void {
+  #deliverOne(member: RaftMember, message: RaftMessage, now: number): void {
     member.receive(message, now);
-    if (message.kind === 'snapshot-part') this.#takePart(member, message);
+    if (message.kind === 'snapshot-part') this.#receiveSnapshotPart(member, message);
     else if (message.kind === 'append-answer' && message.success) {
-      this.#started.snapshots.finish(message.from);
+      this.#started.snapshotExchange.stopSending(message.from);
     } else if (message.kind === 'snapshot-answer') {
-      this.#started.snapshots.onAnswer(message, now);
+      this.#started.snapshotExchange.onAnswer(message, now);
     }
   }
 
-  #takePart(member: RaftMember, part: SnapshotPart): void {
+  #receiveSnapshotPart(member: RaftMember, part: SnapshotPart): void {
     if (part.term < member.term) return;
-    const received = this.#started.snapshots.onPart(part);
-    if (received !== undefined) this.#install(member, part, received);
+    const received = this.#started.snapshotExchange.onPart(part);
+    if (received !== undefined) this.#startInstall(member, part, received);
   }
 
-  /** Until the snapshot is synced this member says nothing: what it would say may rest on it. */
-  #install(member: RaftMember, part: SnapshotPart, snapshot: ReceivedSnapshot): void {
-    if (snapshot.head.position.index <= member.commitIndex) {
+  /** Until the snapshot is synced, no messages are sent, since they may depend on it. */
+  #startInstall(member: RaftMember, part: SnapshotPart, snapshot: ReceivedSnapshot): void {
+    if (snapshot.metadata.position.index <= member.commitIndex) {
       this.#sendByTransport(buildInstalledAnswer(part, this.identity, member.commitIndex));
       return;
     }
     this.#installing = true;
-    this.#writer.insert(() => this.#replace(member, part, snapshot));
+    this.#outputWriter.enqueue(() => this.#installSnapshot(member, part, snapshot));
   }
 
-  async #replace(
+  async #installSnapshot(
     member: RaftMember,
     part: SnapshotPart,
-    { head, rows }: ReceivedSnapshot,
+    { metadata, rows }: ReceivedSnapshot,
   ): Promise<void> {
     try {
-      await this.#started.compactor.replaceBy(head, rows);
-      member.log.install(head);
+      await this.#started.compactor.installSnapshot(metadata, rows);
+      member.log.installSnapshot(metadata);
       this.#options.machine.restore(rows);
-      this.#appliedIndex = head.position.index;
-      this.#sendByTransport(buildInstalledAnswer(part, this.identity, head.position.index));
+      this.#appliedIndex = metadata.position.index;
+      this.#sendByTransport(buildInstalledAnswer(part, this.identity, metadata.position.index));
     } catch (error) {
       this.#fail(error);
     } finally {
@@ -271,26 +274,26 @@
     }
   }
 
-  get #started(): Parts {
-    if (this.#parts === undefined) throw new Error('The replicated log was not started');
-    return this.#parts;
+  get #started(): LogComponents {
+    if (this.#running === undefined) throw new Error('ReplicatedLog was not started');
+    return this.#running;
   }
 
   get #member(): RaftMember {
     return this.#started.member;
   }
 
-  /** Carries out what the member asks for; resolves once all of it is synced. */
-  #pump(send: Send = this.#sendByTransport): Promise<void> {
-    if (this.#failed || this.#installing || this.#parts === undefined) return Promise.resolve();
+  /** Carries out the output of the member; resolves once its records are synced. */
+  #processOutput(send: Send = this.#sendByTransport): Promise<void> {
+    if (this.#failed || this.#installing || this.#running === undefined) return Promise.resolve();
     const output = this.#member.takeOutput();
     for (const envelope of output.messages) send(envelope);
     const { lastIndex, lastTerm } = this.#member;
-    const synced = this.#writer.write(output, { lastIndex, lastTerm }, send);
+    const synced = this.#outputWriter.write(output, { lastIndex, lastTerm }, send);
     this.#applyCommitted();
-    for (const peer of output.snapshotsFor) this.#sendSnapshot(peer);
-    this.#noticeChange();
-    this.#started.compactor.compactWhenDue(this.#appliedIndex).catch((error: unknown) => {
+    for (const peer of output.peersNeedingSnapshot) this.#sendSnapshot(peer);
+    this.#notifyIfChanged();
+    this.#started.compactor.compactIfDue(this.#appliedIndex).catch((error: unknown) => {
       this.#fail(error);
     });
     return synced;
@@ -302,9 +305,9 @@
 
   #sendSnapshot(peer: string): void {
     const { machine, clock } = this.#options;
-    const head = this.#member.log.headAt(this.#appliedIndex);
+    const metadata = this.#member.log.snapshotMetadataAt(this.#appliedIndex);
     const rows = machine.transfer?.() ?? machine.snapshot();
-    this.#started.snapshots.begin(peer, this.term, head, rows, clock.monotonic());
+    this.#started.snapshotExchange.startSending(peer, this.term, metadata, rows, clock.monotonic());
   }
 
   #applyCommitted(): void {
@@ -316,49 +319,49 @@
 
   #applyEntry(entry: LogEntry): void {
     this.#appliedIndex = entry.index;
-    this.#started.compactor.noteApplied(entry);
+    this.#started.compactor.recordApplied(entry);
     if (entry.command === '') return;
     const result = this.#options.machine.apply(entry.command, entry.index, entry.term);
     this.#proposals.settle(entry, result);
   }
 
-  #noticeChange(): void {
+  #notifyIfChanged(): void {
     const { role, leader, term, ready } = this.#member;
-    const change = `${role} ${leader ?? ''} ${term} ${ready} ${this.votes}`;
-    if (change === this.#lastChange) return;
-    this.#lastChange = change;
-    if (role !== 'leader') this.#proposals.rejectAll('leadership ended before the commit');
+    const state = `${role} ${leader ?? ''} ${term} ${ready} ${this.votes}`;
+    if (state === this.#lastNotifiedState) return;
+    this.#lastNotifiedState = state;
+    if (role !== 'leader') this.#proposals.rejectAll('leadership lost with the command pending');
     this.#options.onChange?.();
     for (const listener of this.#changeListeners.splice(0)) listener();
   }
 
-  /** Hands leadership over before a planned stop, once; does nothing if this member does not lead. */
+  /** Transfers leadership before a planned stop; does nothing on later calls or if not the leader. */
   handOver(): Promise<void> {
-    this.#handingOver ??= this.role === 'leader' ? this.#offerLead() : Promise.resolve();
-    return this.#handingOver;
+    this.#leadershipTransfer ??= this.role === 'leader' ? this.#runTransfer() : Promise.resolve();
+    return this.#leadershipTransfer;
   }
 
-  #offerLead(): Promise<void> {
+  #runTransfer(): Promise<void> {
     const { clock, electionMilliseconds = 500, heartbeatMilliseconds = 100 } = this.#options;
-    return handOver({
+    return transferLeadershipWithRetry({
       clock,
-      deadlineMilliseconds: electionMilliseconds * TRANSFER_ELECTION_TIMES,
-      pauseMilliseconds: heartbeatMilliseconds,
-      leads: () => this.role === 'leader' && this.#member.membership.voters.length > 1,
-      offer: () => {
+      timeoutMilliseconds: electionMilliseconds * LEADERSHIP_TRANSFER_ELECTION_TIMEOUTS,
+      retryMilliseconds: heartbeatMilliseconds,
+      canTransfer: () => this.role === 'leader' && this.#member.membership.voters.length > 1,
+      attempt: () => {
         this.#member.transferLeadership(clock.monotonic());
-        void this.#pump();
+        void this.#processOutput();
       },
-      onceChanged: (listener) => this.#changeListeners.push(listener),
+      onNextChange: (listener) => this.#changeListeners.push(listener),
     });
   }
 
   #fail(error: unknown): void {
     if (this.#failed) return;
     this.#failed = true;
-    this.#writer.stop();
+    this.#outputWriter.stop();
     this.#cancelTick();
-    this.#proposals.rejectAll('the disk failed');
+    this.#proposals.rejectAll('store failed with the command pending');
     this.#options.onFailure?.(error);
   }
 }
--- a/src/replication/snapshot-transfer.ts
+++ b/src/replication/snapshot-transfer.ts
@@ -1,50 +1,47 @@
 import type { RaftEnvelope, SnapshotAnswer, SnapshotPart } from './messages';
-import type { SnapshotHead } from './member-log';
+import type { SnapshotMetadata } from './member-log';
 
-/** Size from which a part is sent; characters. */
-const PART_CHARACTERS = 512 * 1024;
+/** Minimum number of characters in a part other than the last one. */
+const MINIMUM_PART_CHARACTERS = 512 * 1024;
 
-/** What a part needs besides its rows. */
-interface Sender {
+interface PartOrigin {
   readonly term: number;
   readonly from: string;
 }
 
-/** What a peer's answer asks for. */
-export type SnapshotProgress =
+/** What a peer's answer requests. */
+export type SnapshotAnswerKind =
   /** The next part. */
   | 'advanced'
-  /** Nothing: the answer is an old one. */
+  /** Nothing: the answer is outdated. */
   | 'unchanged'
-  /** Everything: the peer has lost what it had received. */
+  /** A new transfer: the peer has lost the parts that it received. */
   | 'lost';
 
-/** A snapshot on its way to one peer, part by part; each answer asks for the next one. */
-export class SnapshotSending {
-  readonly head: SnapshotHead;
+/** Sends a snapshot to one peer in parts; each answer requests the next part. */
+export class SnapshotSender {
+  readonly metadata: SnapshotMetadata;
   readonly #rows: Iterator<string> | AsyncIterator<string>;
   #part = -1;
   #partRows: readonly string[] = [];
   #final = false;
 
-  /** `rows` is read as parts are sent, so it must not change. */
-  constructor(head: SnapshotHead, rows: Iterable<string> | AsyncIterable<string>) {
-    this.head = head;
+  /** `rows` is read while parts are sent, so it must not change until then. */
+  constructor(metadata: SnapshotMetadata, rows: Iterable<string> | AsyncIterable<string>) {
+    this.metadata = metadata;
     this.#rows = Symbol.iterator in rows ? rows[Symbol.iterator]() : rows[Symbol.asyncIterator]();
   }
 
-  /** What an answer means. */
-  judge(answer: SnapshotAnswer): SnapshotProgress {
-    if (answer.lastIndex !== this.head.position.index) return 'unchanged';
+  classifyAnswer(answer: SnapshotAnswer): SnapshotAnswerKind {
+    if (answer.lastIndex !== this.metadata.position.index) return 'unchanged';
     if (answer.nextPart === this.#part + 1 && !this.#final) return 'advanced';
     return answer.nextPart === 0 && this.#part > 0 ? 'lost' : 'unchanged';
   }
 
-  /** Reads the next part. */
-  async advance(): Promise<void> {
+  async readNextPart(): Promise<void> {
     const rows: string[] = [];
     let size = 0;
-    while (size < PART_CHARACTERS && !this.#final) {
+    while (size < MINIMUM_PART_CHARACTERS && !this.#final) {
       const next = await this.#rows.next();
       if (next.done === true) {
         this.#final = true;
@@ -57,9 +54,9 @@
     this.#part += 1;
   }
 
-  /** The present part, also when it has to be repeated. */
-  build({ term, from }: Sender, sentAt: number): SnapshotPart {
-    const { position, membership } = this.head;
+  /** Builds the current part; repeated calls build the same part. */
+  buildPart({ term, from }: PartOrigin, sentAt: number): SnapshotPart {
+    const { position, membership } = this.metadata;
     return {
       kind: 'snapshot-part',
       term,
@@ -75,49 +72,48 @@
   }
 }
 
-/** A whole snapshot, received. */
 export interface ReceivedSnapshot {
-  readonly head: SnapshotHead;
+  readonly metadata: SnapshotMetadata;
   readonly rows: readonly string[];
 }
 
-/** Puts the parts of one snapshot together. */
-export class SnapshotReceiving {
+/** Assembles the parts of one snapshot. */
+export class SnapshotReceiver {
   #key = '';
   #rows: string[] = [];
   #nextPart = 0;
 
-  /** Takes a part; returns the snapshot once it is whole. A repeated part changes nothing. */
-  take(part: SnapshotPart): ReceivedSnapshot | undefined {
-    const key = keyOf(part);
-    if (key !== this.#key && part.part === 0) this.#begin(key);
+  /** Adds a part; returns the snapshot once complete. Ignores repeated and out-of-order parts. */
+  addPart(part: SnapshotPart): ReceivedSnapshot | undefined {
+    const key = snapshotKeyOf(part);
+    if (key !== this.#key && part.part === 0) this.#reset(key);
     if (key !== this.#key || part.part !== this.#nextPart) return undefined;
     for (const row of part.rows) this.#rows.push(row);
     this.#nextPart += 1;
     if (!part.final) return undefined;
     const position = { index: part.lastIndex, term: part.lastTerm };
-    const received = { head: { position, membership: part.membership }, rows: this.#rows };
-    this.#begin('');
+    const received = { metadata: { position, membership: part.membership }, rows: this.#rows };
+    this.#reset('');
     return received;
   }
 
-  /** The part that is needed next of the snapshot that a part belongs to. */
-  nextAfter(part: SnapshotPart): number {
-    return keyOf(part) === this.#key ? this.#nextPart : 0;
+  /** Number of the next missing part of the snapshot that `part` belongs to. */
+  nextPartOf(part: SnapshotPart): number {
+    return snapshotKeyOf(part) === this.#key ? this.#nextPart : 0;
   }
 
-  #begin(key: string): void {
+  #reset(key: string): void {
     this.#key = key;
     this.#rows = [];
     this.#nextPart = 0;
   }
 }
 
-function keyOf(part: SnapshotPart): string {
+function snapshotKeyOf(part: SnapshotPart): string {
   return `${part.from} ${part.term} ${part.lastIndex}`;
 }
 
-/** Tells the leader up to which index its snapshot made the log equal to its own. */
+/** Builds the answer that reports the last matching index after a snapshot installation. */
 export function buildInstalledAnswer(
   part: SnapshotPart,
   from: string,
--- a/src/replication/tests/cluster.ts
+++ b/src/replication/tests/cluster.ts
@@ -4,7 +4,7 @@
 import { MemoryDisk } from '../../storage/tests/disk';
 import { type Envelope, ReplicatedLog, hostOf, nameOf } from '..';
 import { ListMachine } from './list-machine';
-import { MessyNetwork } from './messy-network';
+import { UnreliableNetwork } from './messy-network';
 
 interface Host {
   readonly name: string;
@@ -13,13 +13,11 @@
   machine: ListMachine;
   log: ReplicatedLog<number>;
   alive: boolean;
-  frozen: boolean;
-  /** Time that passed while it was frozen. */
-  missed: number;
+  paused: boolean;
+  pausedMilliseconds: number;
 }
 
-/** What a run has shown. */
-export interface RunReport {
+export interface SimulationReport {
   readonly violations: readonly string[];
   readonly acknowledged: number;
   readonly leaders: number;
@@ -32,17 +30,16 @@
 const SETTLE_ROUNDS = 600;
 
 /**
- * Whole members, with their drivers and stores, over a network and disks in memory. A seeded
- * schedule delivers messages late, twice, out of order or not at all, cuts links in one or both
- * directions, slows disks, freezes hosts, takes their power or their disks, and changes the list
- * of hosts.
+ * Replicated logs with in-memory network and disks. A seeded schedule delays, duplicates, reorders
+ * and drops messages, blocks links in one or both directions, delays disk operations, pauses hosts,
+ * makes them lose power or disks, and changes the host list.
  */
-export class Cluster {
+export class ReplicatedLogSimulation {
   readonly #random: SeededRandom;
   readonly #hosts: Host[] = [];
-  readonly #cuts = new Set<string>();
-  #names: readonly string[];
-  readonly #network: MessyNetwork<Envelope>;
+  readonly #blockedLinks = new Set<string>();
+  #listedHosts: readonly string[];
+  readonly #network: UnreliableNetwork<Envelope>;
   #proposals = 0;
   #wipes = 0;
   #snapshots = 0;
@@ -53,26 +50,26 @@
 
   private constructor(seed: number, size: number) {
     this.#random = new SeededRandom(seed);
-    this.#network = new MessyNetwork(this.#random);
-    this.#names = Array.from({ length: size }, (_, index) => `m${index}`);
+    this.#network = new UnreliableNetwork(this.#random);
+    this.#listedHosts = Array.from({ length: size }, (_, index) => `m${index}`);
   }
 
-  /** Runs a number of random steps, then mends everything and lets the members settle. */
-  static async run(seed: number, size: number, steps: number): Promise<RunReport> {
-    const cluster = new Cluster(seed, size);
-    for (const name of cluster.#names) await cluster.#add(name);
+  /** Runs random steps, then ends all faults and checks that the members converge. */
+  static async run(seed: number, size: number, steps: number): Promise<SimulationReport> {
+    const cluster = new ReplicatedLogSimulation(seed, size);
+    for (const name of cluster.#listedHosts) await cluster.#add(name);
     await cluster.#settle();
     for (let step = 0; step < steps; step += 1) {
       await cluster.#randomStep();
-      await flush();
-      cluster.#check();
+      await runPendingTasks();
+      cluster.#checkInvariants();
     }
     await cluster.#settle();
-    cluster.#checkEnd();
+    cluster.#checkFinalState();
     return cluster.#report();
   }
 
-  #report(): RunReport {
+  #report(): SimulationReport {
     return {
       violations: this.#violations,
       acknowledged: this.#acknowledged.size,
@@ -83,9 +80,15 @@
   }
 
   async #add(name: string): Promise<void> {
-    const host = { name, disk: new MemoryDisk(), frozen: false, alive: false, missed: 0 };
-    const parts = this.#build(name, host.disk);
-    const added: Host = { ...host, ...parts };
+    const host = {
+      name,
+      disk: new MemoryDisk(),
+      paused: false,
+      alive: false,
+      pausedMilliseconds: 0,
+    };
+    const created = this.#build(name, host.disk);
+    const added: Host = { ...host, ...created };
     this.#hosts.push(added);
     await this.#start(added);
   }
@@ -94,11 +97,11 @@
     const clock = new ManualClock();
     clock.advance(this.#random.fraction() * 10_000);
     const machine = new ListMachine((index, command) => {
-      this.#note(index, command);
+      this.#recordCommitted(index, command);
     });
     const log = new ReplicatedLog<number>({
       self: name,
-      hosts: () => this.#names,
+      hosts: () => this.#listedHosts,
       store: new SegmentedStore({ folder: '/log', fileSystem: disk.mount(), segmentBytes: 2000 }),
       transport: {
         send: (envelope) => {
@@ -127,12 +130,11 @@
     await this.#start(host);
   }
 
-  /** One entry to a committed index, for ever. */
-  #note(index: number, command: string): void {
+  /** Checks that an index never holds two different committed commands. */
+  #recordCommitted(index: number, command: string): void {
     const known = this.#committed.get(index);
     if (known === undefined) this.#committed.set(index, command);
-    else if (known !== command)
-      this.#violations.push(`index ${index} was committed as two entries`);
+    else if (known !== command) this.#violations.push(`index ${index} has two committed entries`);
   }
 
   async #randomStep(): Promise<void> {
@@ -140,30 +142,30 @@
     const host = this.#pick(this.#hosts);
     if (choice < 0.42) this.#deliverSome();
     else if (choice < 0.6) this.#tick();
-    else if (choice < 0.8) for (const other of this.#hosts) this.#letGo(other);
+    else if (choice < 0.8) for (const other of this.#hosts) this.#completeDiskOperations(other);
     else if (choice < 0.94) this.#propose(host);
-    else if (choice < 0.945) this.#cut();
-    else if (choice < 0.947) host.frozen = host.alive;
+    else if (choice < 0.945) this.#blockLink();
+    else if (choice < 0.947) host.paused = host.alive;
     else if (choice < 0.951) this.#crash(host);
     else if (choice < 0.952) for (const other of this.#hosts) this.#crash(other);
     else if (choice < 0.957) this.#wipe(host);
-    else if (choice < 0.975) await this.#mend(this.#broken ?? host);
-    else if (choice < 0.978) await this.#changeNames();
+    else if (choice < 0.975) await this.#recover(this.#failedHost ?? host);
+    else if (choice < 0.978) await this.#changeListedHosts();
     else this.#network.drop();
   }
 
   #tick(): void {
     const milliseconds = TICK_MILLISECONDS * (1 + Math.floor(this.#random.fraction() * 5));
-    for (const host of this.#hosts) this.#pass(host, milliseconds);
+    for (const host of this.#hosts) this.#advanceClock(host, milliseconds);
   }
 
-  #pass(host: Host, milliseconds: number): void {
-    if (host.frozen) host.missed += milliseconds;
+  #advanceClock(host: Host, milliseconds: number): void {
+    if (host.paused) host.pausedMilliseconds += milliseconds;
     else if (host.alive) host.clock.advance(milliseconds);
   }
 
-  #letGo(host: Host): void {
-    if (!host.frozen) host.disk.letGo(1 + Math.floor(this.#random.fraction() * 10));
+  #completeDiskOperations(host: Host): void {
+    if (!host.paused) host.disk.letGo(1 + Math.floor(this.#random.fraction() * 10));
   }
 
   #deliverSome(): void {
@@ -178,13 +180,13 @@
 
   #deliver(envelope: Envelope): void {
     const to = hostOf(envelope);
-    if (this.#cuts.has(`${nameOf(envelope.message.from)}>${to}`)) return;
+    if (this.#blockedLinks.has(`${nameOf(envelope.message.from)}>${to}`)) return;
     const host = this.#hosts.find((entry) => entry.name === to);
-    if (host?.alive === true && !host.frozen) host.log.receive([envelope]);
+    if (host?.alive === true && !host.paused) host.log.receive([envelope]);
   }
 
   #propose(host: Host): void {
-    if (!host.alive || host.frozen) return;
+    if (!host.alive || host.paused) return;
     this.#proposals += 1;
     const command = `command ${this.#proposals}`;
     host.log.propose(command).then(
@@ -196,11 +198,11 @@
   #crash(host: Host): void {
     if (!host.alive) return;
     host.alive = false;
-    host.frozen = false;
+    host.paused = false;
     host.disk.crash(this.#random);
   }
 
-  /** Takes a disk away, unless a disk that was taken before is not filled again yet. */
+  /** Replaces a disk by an empty one, unless a host that lost its disk is not a voter again yet. */
   #wipe(host: Host): void {
     if (!this.#allAreVoters()) return;
     this.#crash(host);
@@ -209,90 +211,95 @@
   }
 
   #allAreVoters(): boolean {
-    const leader = this.#hosts.find((host) => host.alive && !host.frozen && host.log.serves);
+    const leader = this.#hosts.find((host) => host.alive && !host.paused && host.log.serves);
     const voters = leader?.log.membership.voters ?? [];
     const identities = this.#hosts.map((host) => host.log.identity);
-    const enough = this.#names.length >= 3;
+    const toleratesLoss = this.#listedHosts.length >= 3;
     return (
-      enough &&
+      toleratesLoss &&
       this.#hosts.every((host) => host.alive) &&
       identities.every((identity) => voters.includes(identity))
     );
   }
 
-  get #broken(): Host | undefined {
-    return this.#hosts.find((host) => host.frozen || !host.alive);
+  get #failedHost(): Host | undefined {
+    return this.#hosts.find((host) => host.paused || !host.alive);
   }
 
-  async #mend(host: Host): Promise<void> {
-    this.#cuts.clear();
-    if (host.frozen) {
-      host.frozen = false;
-      host.clock.jump(host.missed);
-      host.missed = 0;
+  async #recover(host: Host): Promise<void> {
+    this.#blockedLinks.clear();
+    if (host.paused) {
+      host.paused = false;
+      host.clock.jump(host.pausedMilliseconds);
+      host.pausedMilliseconds = 0;
     }
     if (!host.alive) await this.#restart(host);
   }
 
-  #cut(): void {
-    this.#cuts.add(`${this.#pick(this.#names)}>${this.#pick(this.#names)}`);
+  #blockLink(): void {
+    this.#blockedLinks.add(`${this.#pick(this.#listedHosts)}>${this.#pick(this.#listedHosts)}`);
   }
 
-  /** Lists one host more, or takes the additional one off the list. */
-  async #changeNames(): Promise<void> {
+  /** Adds one extra host to the list, or removes it from the list. */
+  async #changeListedHosts(): Promise<void> {
     const extra = 'm9';
-    if (this.#names.includes(extra)) {
-      this.#names = this.#names.filter((name) => name !== extra);
+    if (this.#listedHosts.includes(extra)) {
+      this.#listedHosts = this.#listedHosts.filter((name) => name !== extra);
       return;
     }
-    this.#names = [...this.#names, extra];
+    this.#listedHosts = [...this.#listedHosts, extra];
     if (!this.#hosts.some((host) => host.name === extra)) await this.#add(extra);
   }
 
   async #settle(): Promise<void> {
-    for (const host of this.#hosts) await this.#mend(host);
+    for (const host of this.#hosts) await this.#recover(host);
     for (let round = 0; round < SETTLE_ROUNDS; round += 1) {
       for (const host of this.#hosts) {
-        this.#pass(host, TICK_MILLISECONDS);
+        this.#advanceClock(host, TICK_MILLISECONDS);
         host.disk.letGo();
       }
       for (const envelope of this.#network.takeAll()) this.#deliver(envelope);
-      await flush();
-      this.#check();
+      await runPendingTasks();
+      this.#checkInvariants();
     }
   }
 
-  #check(): void {
-    const running = this.#hosts.filter((host) => host.alive && !host.frozen);
+  #checkInvariants(): void {
+    const running = this.#hosts.filter((host) => host.alive && !host.paused);
     for (const { log, name } of running) {
       if (log.role !== 'leader') continue;
       const known = this.#leaderOfTerm.get(log.term);
-      const differs = known !== undefined && known !== log.identity;
-      if (differs) this.#violations.push(`term ${log.term} has leaders ${known} and ${name}`);
+      const isSecondLeader = known !== undefined && known !== log.identity;
+      if (isSecondLeader)
+        this.#violations.push(`term ${log.term} has two leaders: ${known} and ${name}`);
       this.#leaderOfTerm.set(log.term, log.identity);
-      if (log.entriesHeld < log.appliedIndex) this.#snapshots += 1;
+      if (log.entriesInMemory < log.appliedIndex) this.#snapshots += 1;
     }
     if (running.filter((host) => host.log.serves).length > 1) {
-      this.#violations.push('two members hold a read lease');
+      this.#violations.push('more than one member has a read lease');
     }
   }
 
-  #checkEnd(): void {
-    const listed = this.#hosts.filter((host) => this.#names.includes(host.name));
+  #checkFinalState(): void {
+    const listed = this.#hosts.filter((host) => this.#listedHosts.includes(host.name));
     const leader = listed.find((host) => host.log.serves);
     if (leader === undefined) {
-      this.#violations.push('no leader at the end');
+      this.#violations.push('no leader serves after all faults ended');
       return;
     }
     const voters = leader.log.membership.voters.map(nameOf).sort();
-    if (voters.join() !== [...this.#names].sort().join()) {
-      this.#violations.push(`voters at the end: ${voters.join()}, listed: ${this.#names.join()}`);
+    if (voters.join() !== [...this.#listedHosts].sort().join()) {
+      this.#violations.push(
+        `final voters: ${voters.join()}; listed hosts: ${this.#listedHosts.join()}`,
+      );
     }
     for (const { name, machine } of listed) {
       const commands = new Set(machine.commands);
-      if (commands.size !== machine.commands.length) this.#violations.push(`${name} repeats`);
+      if (commands.size !== machine.commands.length)
+        this.#violations.push(`${name} applied a command twice`);
       const lost = [...this.#acknowledged].filter((command) => !commands.has(command));
-      if (lost.length > 0) this.#violations.push(`${name} lost ${lost.join()}`);
+      if (lost.length > 0)
+        this.#violations.push(`${name} lost acknowledged commands: ${lost.join()}`);
     }
   }
 
@@ -301,8 +308,8 @@
   }
 }
 
-/** Lets everything run that waits for nothing but its turn. */
-function flush(): Promise<void> {
+/** Resolves after all callbacks that are already queued. */
+function runPendingTasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
--- a/src/replication/tests/list-machine.ts
+++ b/src/replication/tests/list-machine.ts
@@ -1,6 +1,6 @@
 import type { StateMachine } from '..';
 
-/** A state that is just the list of commands, each with its index. */
+/** A state machine whose state is the list of applied commands with their indexes. */
 export class ListMachine implements StateMachine<number> {
   readonly #onApply: (index: number, command: string) => void;
   #commands: readonly (readonly [number, string])[] = [];
--- a/src/replication/tests/member-cluster.ts
+++ b/src/replication/tests/member-cluster.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../../core';
 import type { HardState, LogEntry, RaftEnvelope } from '../messages';
 import { RaftMember } from '../raft';
-import { MessyNetwork } from './messy-network';
+import { UnreliableNetwork } from './messy-network';
 
 interface Disk {
   hardState: HardState;
@@ -19,14 +19,13 @@
   member: RaftMember;
   disk: Disk;
   unsynced: Unsynced[];
-  /** What the disk will hold once all is synced. */
+  /** Contents of the disk once all writes are synced. */
   written: Disk;
   alive: boolean;
-  frozen: boolean;
+  paused: boolean;
 }
 
-/** What a run has shown; every list is in the order it happened. */
-export interface RunReport {
+export interface SimulationReport {
   readonly violations: readonly string[];
   readonly committed: number;
   readonly leaders: number;
@@ -35,16 +34,16 @@
 const TICK_MILLISECONDS = 15;
 
 /**
- * Members without their drivers over an in-memory network and disk. A seeded schedule delivers messages late, twice, out
- * of order or not at all, cuts links in one or both directions, freezes members and crashes them
- * with the loss of what was not synced.
+ * Raft members without drivers, with in-memory network and disks. A seeded schedule delays,
+ * duplicates, reorders and drops messages, blocks links in one or both directions, pauses members
+ * and crashes them with the loss of unsynced writes.
  */
-export class MemberCluster {
+export class RaftMemberSimulation {
   readonly #random: SeededRandom;
   readonly #nodes: Node[];
   readonly #names: readonly string[];
-  readonly #cuts = new Set<string>();
-  readonly #network: MessyNetwork<RaftEnvelope>;
+  readonly #blockedLinks = new Set<string>();
+  readonly #network: UnreliableNetwork<RaftEnvelope>;
   #now = 0;
   #proposals = 0;
   readonly #leaderOfTerm = new Map<number, string>();
@@ -54,22 +53,22 @@
 
   constructor(seed: number, size: number) {
     this.#random = new SeededRandom(seed);
-    this.#network = new MessyNetwork(this.#random);
+    this.#network = new UnreliableNetwork(this.#random);
     this.#names = Array.from({ length: size }, (_, index) => `m${index}`);
-    this.#nodes = this.#names.map((name) => this.#boot(name, emptyDisk()));
+    this.#nodes = this.#names.map((name) => this.#boot(name, createEmptyDisk()));
   }
 
-  /** Runs a number of random steps, then heals everything and lets the members settle. */
-  run(steps: number): RunReport {
+  /** Runs random steps, then ends all faults and checks that the members converge. */
+  run(steps: number): SimulationReport {
     for (let step = 0; step < steps; step += 1) this.#randomStep();
-    this.#heal();
-    this.#checkAll();
-    const last = [...this.#committed.keys()].length;
+    this.#recoverAllAndSettle();
+    this.#checkFinalState();
+    const committed = [...this.#committed.keys()].length;
     if (!this.#nodes.some((node) => node.member.ready))
-      this.#violations.push('no leader at the end');
+      this.#violations.push('no leader is ready after all faults ended');
     return {
       violations: this.#violations,
-      committed: last,
+      committed,
       leaders: this.#leaderOfTerm.size,
     };
   }
@@ -86,7 +85,7 @@
     });
     member.start(this.#now);
     this.#checkedUpTo.set(name, 0);
-    return { name, member, disk, unsynced: [], written: disk, alive: true, frozen: false };
+    return { name, member, disk, unsynced: [], written: disk, alive: true, paused: false };
   }
 
   #randomStep(): void {
@@ -97,12 +96,12 @@
     else if (choice < 0.62) this.#tick();
     else if (choice < 0.82) this.#syncSome(node);
     else if (choice < 0.94) this.#propose(node);
-    else if (choice < 0.945) this.#cut();
-    else if (choice < 0.95) node.frozen = true;
+    else if (choice < 0.945) this.#blockLink();
+    else if (choice < 0.95) node.paused = true;
     else if (choice < 0.955) this.#crash(node);
-    else if (choice < 0.975) this.#mend(node);
+    else if (choice < 0.975) this.#recover(node);
     else if (choice < 0.985) {
-      this.#act(node, (member) => {
+      this.#runMember(node, (member) => {
         member.transferLeadership(this.#now);
       });
     } else this.#network.drop();
@@ -111,7 +110,7 @@
   #tick(): void {
     this.#now += TICK_MILLISECONDS * (1 + Math.floor(this.#random.fraction() * 3));
     for (const node of this.#nodes) {
-      this.#act(node, (member) => {
+      this.#runMember(node, (member) => {
         member.tick(this.#now);
       });
     }
@@ -133,32 +132,32 @@
   }
 
   #deliver(envelope: RaftEnvelope): void {
-    if (this.#cuts.has(`${envelope.message.from}>${envelope.to}`)) return;
+    if (this.#blockedLinks.has(`${envelope.message.from}>${envelope.to}`)) return;
     const node = this.#nodes.find((entry) => entry.name === envelope.to);
     if (node === undefined) return;
-    this.#act(node, (member) => {
+    this.#runMember(node, (member) => {
       member.receive(envelope.message, this.#now);
     });
   }
 
   #propose(node: Node): void {
     this.#proposals += 1;
-    this.#act(node, (member) => {
+    this.#runMember(node, (member) => {
       member.propose(`command ${this.#proposals}`, this.#now);
     });
   }
 
-  /** Lets a member act and takes over what it asks for. */
-  #act(node: Node, action: (member: RaftMember) => void): void {
-    if (!node.alive || node.frozen) return;
+  /** Runs an action on a member and carries out its output. */
+  #runMember(node: Node, action: (member: RaftMember) => void): void {
+    if (!node.alive || node.paused) return;
     action(node.member);
     const output = node.member.takeOutput();
     this.#network.send(...output.messages);
-    const changed =
+    const hasRecords =
       output.hardState !== undefined ||
       output.truncateFrom !== undefined ||
       output.entries.length > 0;
-    if (changed || output.messagesAfterSync.length > 0) {
+    if (hasRecords || output.messagesAfterSync.length > 0) {
       const { truncateFrom } = output;
       const kept =
         truncateFrom === undefined
@@ -176,46 +175,45 @@
         messages: output.messagesAfterSync,
       });
     }
-    this.#check(node);
+    this.#checkInvariants(node);
   }
 
   #syncOne(node: Node): void {
     const first = node.unsynced.shift();
-    if (first === undefined || !node.alive || node.frozen) {
+    if (first === undefined || !node.alive || node.paused) {
       if (first !== undefined) node.unsynced.unshift(first);
       return;
     }
     node.disk = { hardState: first.hardState, entries: first.entries };
     this.#network.send(...first.messages);
-    this.#act(node, (member) => {
-      member.synced(first.lastIndex, first.lastTerm);
+    this.#runMember(node, (member) => {
+      member.recordSynced(first.lastIndex, first.lastTerm);
     });
   }
 
-  /** What was not synced is lost. */
   #crash(node: Node): void {
     node.alive = false;
     node.unsynced = [];
   }
 
-  #mend(node: Node): void {
-    this.#cuts.clear();
-    node.frozen = false;
+  #recover(node: Node): void {
+    this.#blockedLinks.clear();
+    node.paused = false;
     if (!node.alive) Object.assign(node, this.#boot(node.name, node.disk));
   }
 
-  #cut(): void {
+  #blockLink(): void {
     const from = this.#pick(this.#names);
     const to = this.#pick(this.#names);
-    this.#cuts.add(`${from ?? ''}>${to ?? ''}`);
+    this.#blockedLinks.add(`${from ?? ''}>${to ?? ''}`);
   }
 
-  #heal(): void {
-    for (const node of this.#nodes) this.#mend(node);
+  #recoverAllAndSettle(): void {
+    for (const node of this.#nodes) this.#recover(node);
     for (let round = 0; round < 400; round += 1) {
       this.#now += TICK_MILLISECONDS;
       for (const node of this.#nodes) {
-        this.#act(node, (member) => {
+        this.#runMember(node, (member) => {
           member.tick(this.#now);
         });
         while (node.unsynced.length > 0) this.#syncOne(node);
@@ -224,33 +222,33 @@
     }
   }
 
-  #checkAll(): void {
-    for (const node of this.#nodes) this.#check(node);
+  #checkFinalState(): void {
+    for (const node of this.#nodes) this.#checkInvariants(node);
     const indexes = this.#nodes.map((node) => node.member.commitIndex);
     if (new Set(indexes).size > 1)
-      this.#violations.push(`commit indexes differ: ${indexes.join()}`);
+      this.#violations.push(`final commit indexes differ: ${indexes.join()}`);
   }
 
-  /** One leader to a term, and one entry to a committed index, for ever. */
-  #check(node: Node): void {
+  /** Checks for one leader per term, one read lease and one committed entry per index. */
+  #checkInvariants(node: Node): void {
     const { member, name } = node;
     if (member.role === 'leader') {
       const known = this.#leaderOfTerm.get(member.term);
       if (known !== undefined && known !== name) {
-        this.#violations.push(`term ${member.term} has leaders ${known} and ${name}`);
+        this.#violations.push(`term ${member.term} has two leaders: ${known} and ${name}`);
       }
       this.#leaderOfTerm.set(member.term, name);
-      const first = this.#nodes.filter(
-        (other) => other.alive && !other.frozen && other.member.hasReadLease(this.#now),
+      const leaseHolders = this.#nodes.filter(
+        (other) => other.alive && !other.paused && other.member.hasReadLease(this.#now),
       );
-      if (first.length > 1) this.#violations.push('two members hold a read lease');
+      if (leaseHolders.length > 1) this.#violations.push('more than one member has a read lease');
     }
     const from = (this.#checkedUpTo.get(name) ?? 0) + 1;
     for (const entry of member.log.range(from, member.commitIndex)) {
       const known = this.#committed.get(entry.index);
       if (known === undefined) this.#committed.set(entry.index, entry);
       else if (known.term !== entry.term || known.command !== entry.command) {
-        this.#violations.push(`index ${entry.index} was committed as two entries`);
+        this.#violations.push(`index ${entry.index} has two committed entries`);
       }
     }
     this.#checkedUpTo.set(name, Math.max(from - 1, member.commitIndex));
@@ -261,6 +259,6 @@
   }
 }
 
-function emptyDisk(): Disk {
+function createEmptyDisk(): Disk {
   return { hardState: { term: 0, votedFor: undefined }, entries: [] };
 }
--- a/src/replication/tests/messy-network.ts
+++ b/src/replication/tests/messy-network.ts
@@ -1,13 +1,12 @@
 import type { RandomSource } from '../../core';
 
-/** Messages that may be taken before earlier ones. */
-const REORDERED = 8;
+/** Number of oldest messages among which the next one is picked. */
+const REORDER_WINDOW = 8;
 
-/** Share of the messages that arrive twice. */
-const REPEATED_SHARE = 0.05;
+const DUPLICATE_FRACTION = 0.05;
 
-/** Messages under way in a test: they come out of order, and some twice or never. */
-export class MessyNetwork<Message> {
+/** Messages in flight; delivers them out of order, duplicates some and can drop them. */
+export class UnreliableNetwork<Message> {
   readonly #random: RandomSource;
   readonly #messages: Message[] = [];
 
@@ -19,22 +18,22 @@
     this.#messages.push(...messages);
   }
 
-  /** Takes one of the oldest messages; nothing if there is none. */
+  /** Removes one of the oldest messages; undefined if there is none. */
   take(): Message | undefined {
     if (this.#messages.length === 0) return undefined;
-    const index = this.#pick(Math.min(this.#messages.length, REORDERED));
+    const index = this.#pick(Math.min(this.#messages.length, REORDER_WINDOW));
     const [message] = this.#messages.splice(index, 1);
     if (message === undefined) return undefined;
-    if (this.#random.fraction() < REPEATED_SHARE) this.#messages.push(message);
+    if (this.#random.fraction() < DUPLICATE_FRACTION) this.#messages.push(message);
     return message;
   }
 
-  /** Loses one message. */
+  /** Drops one message at random. */
   drop(): void {
     this.#messages.splice(this.#pick(this.#messages.length), 1);
   }
 
-  /** Takes all messages, in order. */
+  /** Removes all messages, in the order they were sent. */
   takeAll(): readonly Message[] {
     return this.#messages.splice(0);
   }
--- a/src/replication/tests/replicated-log.test.ts
+++ b/src/replication/tests/replicated-log.test.ts
@@ -15,7 +15,7 @@
   });
 }
 
-describe('a member with its store', () => {
+describe('ReplicatedLog with a store', () => {
   let disk: MemoryDisk;
   let sent: Envelope[];
   let machine: ListMachine;
@@ -42,7 +42,7 @@
     await start();
   });
 
-  /** Delivers a message, and resolves with the answers once all they rest on is synced. */
+  /** Delivers a message and resolves with the answers, which wait for the sync of its records. */
   async function deliver(message: RaftMessage): Promise<readonly RaftMessage[]> {
     const answers = await log.exchange([{ to: log.identity, message }]);
     return answers.map((envelope) => envelope.message as RaftMessage);
@@ -60,20 +60,20 @@
       JSON.stringify([index, command]),
     );
     const base = { kind: 'snapshot-part', term: 1, from: LEADER, sentAt: 0 } as const;
-    const place = { lastIndex, lastTerm: 1, membership: MEMBERSHIP };
-    return { ...base, ...place, part: 0, rows, final: true };
+    const position = { lastIndex, lastTerm: 1, membership: MEMBERSHIP };
+    return { ...base, ...position, part: 0, rows, final: true };
   }
 
-  async function answered(kind: RaftMessage['kind']): Promise<void> {
+  async function waitForSent(kind: RaftMessage['kind']): Promise<void> {
     while (!sent.some((envelope) => envelope.message.kind === kind)) {
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
 
-  it('keeps the entries behind a snapshot that it has acknowledged, over a loss of power', async () => {
+  it('keeps acknowledged entries that follow a received snapshot after a power loss', async () => {
     await deliver(append(1, 20));
     await deliver(snapshotAt(15));
-    await answered('append-answer');
+    await waitForSent('append-answer');
     disk.crash(new SeededRandom(2));
     await start();
     expect(machine.commands).toHaveLength(15);
@@ -82,20 +82,20 @@
     expect(machine.commands.at(-1)).toBe('command 21');
   });
 
-  it('drops entries that contradict a snapshot', async () => {
+  it('drops entries that conflict with a received snapshot', async () => {
     await deliver({
       ...append(1, 20),
       entries: entries(1, 20).map((entry) => ({ ...entry, term: 0 })),
     } as RaftMessage);
     await deliver(snapshotAt(15));
-    await answered('append-answer');
+    await waitForSent('append-answer');
     disk.crash(new SeededRandom(2));
     await start();
     const answers = await deliver(append(21, 21, 21));
     expect(answers).toMatchObject([{ kind: 'append-answer', success: false }]);
   });
 
-  it('takes no message that is meant for an earlier life of its folder', async () => {
+  it('ignores messages addressed to an earlier incarnation', async () => {
     const identity = log.identity;
     disk.wipe();
     await start();
--- a/src/replication/tests/rules.test.ts
+++ b/src/replication/tests/rules.test.ts
@@ -2,7 +2,7 @@
 import type { LogEntry, RaftMessage } from '../messages';
 import { RaftMember } from '../raft';
 
-const ELECTION = 500;
+const ELECTION_MILLISECONDS = 500;
 
 function entry(index: number, term: number): LogEntry {
   return { index, term, command: `command ${index}` };
@@ -13,7 +13,7 @@
     self: 'a',
     membership: { voters: ['a', 'b', 'c'], learners: [] },
     random: new SeededRandom(1),
-    electionMilliseconds: ELECTION,
+    electionMilliseconds: ELECTION_MILLISECONDS,
     hardState: { term, votedFor: undefined },
     entries,
   });
@@ -22,8 +22,8 @@
 }
 
 function voteRequest(term: number, transfer = false): RaftMessage {
-  const last = { lastIndex: 9, lastTerm: term - 1 };
-  return { kind: 'vote-request', preVote: false, term, from: 'b', ...last, transfer };
+  const logEnd = { lastIndex: 9, lastTerm: term - 1 };
+  return { kind: 'vote-request', preVote: false, term, from: 'b', ...logEnd, transfer };
 }
 
 function appendFrom(term: number, entries: readonly LogEntry[], previous: LogEntry): RaftMessage {
@@ -32,12 +32,12 @@
   return { ...base, previousIndex, previousTerm, entries };
 }
 
-function sent(member: RaftMember): readonly RaftMessage[] {
+function takeSentMessages(member: RaftMember): readonly RaftMessage[] {
   const { messages, messagesAfterSync } = member.takeOutput();
   return [...messages, ...messagesAfterSync].map((envelope) => envelope.message);
 }
 
-/** Makes a member leader of the next term with the votes of both peers. */
+/** Makes a member the leader of the next term with the vote of one peer. */
 function elect(member: RaftMember, now: number): number {
   member.tick(now);
   const preVoteTerm = member.term + 1;
@@ -48,71 +48,71 @@
   return member.term;
 }
 
-describe('the rules of the replicated log', () => {
+describe('RaftMember', () => {
   describe('a new leader', () => {
-    it('commits entries of earlier terms only with one of its own', () => {
+    it('commits entries of earlier terms only together with an entry of its own term', () => {
       const member = createMember([entry(1, 1), entry(2, 2)], 3);
-      const term = elect(member, ELECTION * 2);
-      member.synced(3, term);
+      const term = elect(member, ELECTION_MILLISECONDS * 2);
+      member.recordSynced(3, term);
       const answer = { kind: 'append-answer', term, from: 'b', success: true, sentAt: 0 } as const;
-      member.receive({ ...answer, matchIndex: 2 }, ELECTION * 2);
+      member.receive({ ...answer, matchIndex: 2 }, ELECTION_MILLISECONDS * 2);
       expect(member.commitIndex).toBe(0);
-      member.receive({ ...answer, matchIndex: 3 }, ELECTION * 2);
+      member.receive({ ...answer, matchIndex: 3 }, ELECTION_MILLISECONDS * 2);
       expect(member.commitIndex).toBe(3);
     });
 
-    it('serves no reads before that', () => {
+    it('has no read lease before an entry of its own term is committed', () => {
       const member = createMember([], 0);
-      elect(member, ELECTION * 2);
-      expect(member.hasReadLease(ELECTION * 2)).toBe(false);
+      elect(member, ELECTION_MILLISECONDS * 2);
+      expect(member.hasReadLease(ELECTION_MILLISECONDS * 2)).toBe(false);
     });
   });
 
-  describe('a member that has heard a leader lately', () => {
-    it('votes for nobody, so that the read lease of the leader holds', () => {
+  describe('a member with recent leader contact', () => {
+    it('denies votes, so that the read lease of the leader stays valid', () => {
       const member = createMember([], 1);
-      member.receive(appendFrom(1, [], entry(0, 0)), ELECTION * 1.5);
-      sent(member);
-      member.receive(voteRequest(2), ELECTION * 2);
-      expect(sent(member)).toMatchObject([{ kind: 'vote-answer', granted: false }]);
+      member.receive(appendFrom(1, [], entry(0, 0)), ELECTION_MILLISECONDS * 1.5);
+      takeSentMessages(member);
+      member.receive(voteRequest(2), ELECTION_MILLISECONDS * 2);
+      expect(takeSentMessages(member)).toMatchObject([{ kind: 'vote-answer', granted: false }]);
       expect(member.term).toBe(1);
     });
 
-    it('votes if the leader itself asked for the election', () => {
+    it('grants a vote if the leader requested the election as a leadership transfer', () => {
       const member = createMember([], 1);
-      member.receive(appendFrom(1, [], entry(0, 0)), ELECTION * 1.5);
-      sent(member);
-      member.receive(voteRequest(2, true), ELECTION * 2);
-      expect(sent(member)).toMatchObject([{ kind: 'vote-answer', granted: true }]);
+      member.receive(appendFrom(1, [], entry(0, 0)), ELECTION_MILLISECONDS * 1.5);
+      takeSentMessages(member);
+      member.receive(voteRequest(2, true), ELECTION_MILLISECONDS * 2);
+      expect(takeSentMessages(member)).toMatchObject([{ kind: 'vote-answer', granted: true }]);
     });
   });
 
   describe('a member that has just started', () => {
-    it('votes for nobody for an election time, since it may have promised a lease', () => {
+    it('denies votes for one election timeout, since a read lease may still be valid', () => {
       const member = createMember([], 1);
-      member.receive(voteRequest(2), ELECTION / 2);
-      expect(sent(member)).toMatchObject([{ kind: 'vote-answer', granted: false }]);
+      member.receive(voteRequest(2), ELECTION_MILLISECONDS / 2);
+      expect(takeSentMessages(member)).toMatchObject([{ kind: 'vote-answer', granted: false }]);
     });
   });
 
-  describe('a member whose entries are replaced', () => {
-    it('does not count them as synced when it leads afterwards', () => {
+  describe('a member whose entries were replaced by another leader', () => {
+    it('does not count the replaced entries as synced when it becomes leader', () => {
       const member = createMember([entry(1, 1), entry(2, 1), entry(3, 1)], 1);
       member.receive(appendFrom(2, [entry(2, 2)], entry(1, 1)), 10);
-      const term = elect(member, ELECTION * 4);
+      const term = elect(member, ELECTION_MILLISECONDS * 4);
       const answer = { kind: 'append-answer', term, from: 'b', success: true, sentAt: 0 } as const;
-      member.receive({ ...answer, matchIndex: 3 }, ELECTION * 4);
+      member.receive({ ...answer, matchIndex: 3 }, ELECTION_MILLISECONDS * 4);
       expect(member.commitIndex).toBe(0);
     });
 
-    it('ignores a sync of the replaced ones that ends late', () => {
+    it('ignores the late sync of replaced entries', () => {
       const member = createMember([entry(1, 1)], 1);
       member.receive(appendFrom(1, [entry(2, 1), entry(3, 1)], entry(1, 1)), 10);
       member.receive(appendFrom(2, [entry(2, 2)], entry(1, 1)), 20);
-      const term = elect(member, ELECTION * 4);
-      member.synced(3, 1);
+      const term = elect(member, ELECTION_MILLISECONDS * 4);
+      member.recordSynced(3, 1);
       const answer = { kind: 'append-answer', term, from: 'b', success: true, sentAt: 0 } as const;
-      member.receive({ ...answer, matchIndex: 3 }, ELECTION * 4);
+      member.receive({ ...answer, matchIndex: 3 }, ELECTION_MILLISECONDS * 4);
       expect(member.commitIndex).toBe(0);
     });
   });
