--- a/src/cluster/client.ts
+++ b/src/cluster/client.ts
@@ -1,5 +1,5 @@
 import { type Clock, type Logger, delay, messageOf } from '../core';
-import { type CallName, type Caller, LinkError } from '../link';
+import { type CallName, type Caller, RpcError } from '../link';
 import type { QuotaGrants, QuotaReport } from '../quotas';
 import type {
   ClusterContract,
@@ -13,23 +13,23 @@
 import type { Greeter } from './greeter';
 import type { ClusterCommand, CommandOutcome } from './machine';
 
-/** Longest time spent on one order; an operator asks another process after a second. */
-const ORDER_MILLISECONDS = 900;
+/**
+ * Total time for one call; below the 1 s after which an operator's client tries another process.
+ */
+const CALL_TIMEOUT_MILLISECONDS = 900;
 
-/** Longest wait for one process; milliseconds. */
-const ANSWER_MILLISECONDS = 500;
+const ATTEMPT_TIMEOUT_MILLISECONDS = 500;
 
-/** Pause before the leader is looked for again; milliseconds. */
-const RETRY_MILLISECONDS = 60;
+const RETRY_DELAY_MILLISECONDS = 60;
 
-type LeaderCall =
+type LeaderCallName =
   'cluster.propose' | 'cluster.read' | 'cluster.retire' | 'cluster.retirement' | 'cluster.quotas';
 
 type Calls = ClusterContract['calls'];
 
-/** The calls that only the leader answers, carried out at this process. */
-export type LocalLeader = {
-  readonly [Name in LeaderCall]: (
+/** The leader calls, served by this process's own replica. */
+export type LocalLeaderCalls = {
+  readonly [Name in LeaderCallName]: (
     request: Calls[Name]['request'],
   ) => Calls[Name]['answer'] | Promise<Calls[Name]['answer']>;
 };
@@ -41,11 +41,11 @@
   readonly peers: Caller<ClusterContract>;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** This process's own copy of the state, where it keeps one. */
-  readonly local: LocalLeader | undefined;
+  /** Calls on this process's own replica; undefined without one. */
+  readonly local: LocalLeaderCalls | undefined;
 }
 
-/** Changes and reads the cluster's state from any process, at whichever host leads it. */
+/** Reads and changes the cluster state from any process by calling the current leader. */
 export class ClusterClient {
   readonly #options: ClusterClientOptions;
 
@@ -53,69 +53,70 @@
     this.#options = options;
   }
 
-  /** Resolves once the command lasts; rejects with {@link ClusterUnavailable}. */
+  /** Resolves once the command is committed; rejects with {@link ClusterUnavailableError}. */
   propose(command: ClusterCommand): Promise<CommandOutcome> {
-    return this.#ask('cluster.propose', command);
+    return this.#call('cluster.propose', command);
   }
 
-  /** Reads the newest configuration; rejects with {@link ClusterUnavailable} if not certain. */
+  /** Linearizable read of the configuration; rejects with {@link ClusterUnavailableError}. */
   readConfiguration(): Promise<VersionedConfiguration | undefined> {
-    return this.#ask('cluster.read', null);
+    return this.#call('cluster.read', null);
   }
 
-  /** Orders a store to be emptied. */
+  /** Starts retiring a store, whose turns are then copied to other stores. */
   retire(store: string): Promise<RetirementOutcome> {
-    return this.#ask('cluster.retire', store);
+    return this.#call('cluster.retire', store);
   }
 
   retirement(store: string): Promise<RetirementOutcome> {
-    return this.#ask('cluster.retirement', store);
+    return this.#call('cluster.retirement', store);
   }
 
-  /** Asks for parts of teams' quotas; rejects with {@link ClusterUnavailable}. */
+  /** Requests shares of team quotas; rejects with {@link ClusterUnavailableError}. */
   takeQuotas(report: QuotaReport): Promise<QuotaGrants> {
-    return this.#ask('cluster.quotas', report);
+    return this.#call('cluster.quotas', report);
   }
 
-  async #ask<Name extends LeaderCall, Value>(
+  async #call<Name extends LeaderCallName, Value>(
     name: Name & CallName<ClusterContract>,
     request: Calls[Name]['request'],
   ): Promise<Value> {
-    const { clock, greeter } = this.#options;
-    const deadline = clock.monotonic() + ORDER_MILLISECONDS;
+    const { clock, greeter: heartbeatSender } = this.#options;
+    const deadline = clock.monotonic() + CALL_TIMEOUT_MILLISECONDS;
     let reason = 'no leader of the cluster state is known';
     let hint: LeaderHint | undefined;
-    let tried = 0;
+    let attempt = 0;
     while (clock.monotonic() < deadline) {
-      const address = hint?.address ?? greeter.leader?.address ?? this.#anyKeeper(tried);
-      tried += 1;
-      const answer = await this.#askOne<Name, Value>(address, name, request);
+      const address =
+        hint?.address ?? heartbeatSender.leader?.address ?? this.#nextReplica(attempt);
+      attempt += 1;
+      const answer = await this.#callOnce<Name, Value>(address, name, request);
       if (answer.kind === 'done') return answer.value;
       hint = undefined;
       if (answer.kind === 'not-now') {
         reason = answer.reason;
       } else if (answer.leader?.address !== address) {
         hint = answer.leader;
-        greeter.hint(answer.leader);
+        heartbeatSender.recordLeaderHint(answer.leader);
         if (hint !== undefined) continue;
       }
-      await delay(clock, RETRY_MILLISECONDS);
+      await delay(clock, RETRY_DELAY_MILLISECONDS);
     }
     throw new ClusterUnavailable(reason);
   }
 
-  async #askOne<Name extends LeaderCall, Value>(
+  async #callOnce<Name extends LeaderCallName, Value>(
     address: string | undefined,
     name: Name,
     request: Calls[Name]['request'],
   ): Promise<LeaderAnswer<Value>> {
-    const { selfAddress, peers, local, logger } = this.#options;
+    const { selfAddress, peers, local: localLeaderCalls, logger } = this.#options;
     if (address === undefined) return { kind: 'not-leader', leader: undefined };
     try {
       const answer =
-        address === selfAddress && local !== undefined
-          ? await local[name](request)
-          : await peers.call(address, name, request, ANSWER_MILLISECONDS);
+        address === selfAddress && localLeaderCalls !== undefined
+          ? await localLeaderCalls[name](request)
+          : await peers.call(address, name, request, ATTEMPT_TIMEOUT_MILLISECONDS);
       return answer as LeaderAnswer<Value>;
     } catch (error) {
       logger.info({
@@ -124,16 +125,16 @@
         leader: address,
         error: messageOf(error),
       });
-      const failure = error instanceof LinkError ? error.failure : 'failed';
+      const failure = error instanceof RpcError ? error.failure : 'failed';
       return { kind: 'not-now', reason: `the leader did not answer: ${failure}` };
     }
   }
 
-  #anyKeeper(tried: number): string | undefined {
-    const { directory, local, selfAddress } = this.#options;
-    const keepers = directory.all().filter(({ node }) => node.keepsClusterState);
-    const addresses = keepers.map(({ node }) => node.address);
-    if (local !== undefined) addresses.unshift(selfAddress);
-    return addresses[tried % Math.max(1, addresses.length)];
+  #nextReplica(attempt: number): string | undefined {
+    const { directory, local: localLeaderCalls, selfAddress } = this.#options;
+    const replicas = directory.all().filter(({ node }) => node.keepsClusterState);
+    const addresses = replicas.map(({ node }) => node.address);
+    if (localLeaderCalls !== undefined) addresses.unshift(selfAddress);
+    return addresses[attempt % Math.max(1, addresses.length)];
   }
 }
--- a/src/cluster/confirmation.ts
+++ b/src/cluster/confirmation.ts
@@ -1,76 +1,80 @@
 import type { CancelTimer, Clock } from '../core';
 
-/** Gap between two signs that this process runs from which on it counts as having stood still; milliseconds. */
-const PAUSE_MILLISECONDS = 500;
+/** Gap between calls of `recordActivity` above which the process counts as having been paused. */
+const PAUSE_THRESHOLD_MILLISECONDS = 500;
 
-/** Time after a pause in which the leader's next word is due: a greeting and its answer. Milliseconds. */
-const DUE_MILLISECONDS = 300;
+/** Time after a pause in which the next heartbeat and its response are expected. */
+const PAUSE_GRACE_MILLISECONDS = 300;
 
-/** Time after a start in which a leader is most likely still being elected; milliseconds. */
-const START_MILLISECONDS = 3000;
+/** Time after the start in which an election may still be in progress. */
+const START_GRACE_MILLISECONDS = 3000;
 
 interface Waiter {
-  /** Only a question asked at this time or later counts; monotonic milliseconds. */
+  /** Earliest request time that counts; monotonic milliseconds. */
   readonly since: number;
   readonly resolve: (confirmed: boolean) => void;
   readonly cancel: CancelTimer;
 }
 
 /**
- * How lately the leader has confirmed that this process knows the newest configuration. What was
- * acknowledged before the leader was asked is known here; what came later may not be.
+ * Tracks when the leader last confirmed that this process has the newest configuration. A
+ * confirmation covers changes acknowledged before the request was sent, not before the response
+ * arrived.
  */
 export class Confirmation {
   readonly #clock: Clock;
   readonly #waiters = new Set<Waiter>();
-  #askedAt = -Infinity;
+  /** Time at which the last confirmed request was sent; monotonic milliseconds. */
+  #confirmedAt = -Infinity;
   readonly #startedAt: number;
-  #ranAt: number;
-  #pausedUntil = -Infinity;
+  #lastActiveAt: number;
+  #resumedAt = -Infinity;
 
   constructor(clock: Clock) {
     this.#clock = clock;
     this.#startedAt = clock.monotonic();
-    this.#ranAt = this.#startedAt;
+    this.#lastActiveAt = this.#startedAt;
   }
 
-  /** Time since the question was asked that was confirmed last; Infinity before the first. */
+  /** Time since the last confirmed request was sent; Infinity before the first. */
   get ageMilliseconds(): number {
-    return this.#clock.monotonic() - this.#askedAt;
+    return this.#clock.monotonic() - this.#confirmedAt;
   }
 
-  /** Notes that this process runs; to be called several times a second. */
+  /** Detects pauses of the process; must be called several times per second. */
   noteRunning(): void {
     const now = this.#clock.monotonic();
-    if (now - this.#ranAt > PAUSE_MILLISECONDS) this.#pausedUntil = now;
-    this.#ranAt = now;
+    if (now - this.#lastActiveAt > PAUSE_THRESHOLD_MILLISECONDS) this.#resumedAt = now;
+    this.#lastActiveAt = now;
   }
 
   /**
-   * Whether the leader's word is missing because this process has just begun or stood still, and not because
-   * the leader is not reached; it is due at any moment then.
+   * Whether this process started or resumed so recently that a missing confirmation does not
+   * indicate an unreachable leader.
    */
   get isDue(): boolean {
     const now = this.#clock.monotonic();
-    if (now - this.#ranAt > PAUSE_MILLISECONDS) return true;
-    if (this.#askedAt === -Infinity) return now - this.#startedAt <= START_MILLISECONDS;
-    return this.#askedAt < this.#pausedUntil && now - this.#pausedUntil <= DUE_MILLISECONDS;
+    if (now - this.#lastActiveAt > PAUSE_THRESHOLD_MILLISECONDS) return true;
+    if (this.#confirmedAt === -Infinity) return now - this.#startedAt <= START_GRACE_MILLISECONDS;
+    return this.#confirmedAt < this.#resumedAt && now - this.#resumedAt <= PAUSE_GRACE_MILLISECONDS;
   }
 
-  /** Notes that a question asked at `askedAt` was answered by whoever led then. */
-  confirm(askedAt: number): void {
-    this.#askedAt = Math.max(this.#askedAt, askedAt);
+  /** Records that the leader answered a request sent at `requestedAt`; monotonic milliseconds. */
+  confirm(requestedAt: number): void {
+    this.#confirmedAt = Math.max(this.#confirmedAt, requestedAt);
     for (const waiter of this.#waiters) {
-      if (waiter.since <= this.#askedAt) this.#settle(waiter, true);
+      if (waiter.since <= this.#confirmedAt) this.#settle(waiter, true);
     }
   }
 
-  /** Whether a question asked at `since` or later is confirmed already. */
+  /** Whether a request sent at `since` or later has been confirmed. */
   isConfirmedSince(since: number): boolean {
-    return this.#askedAt >= since;
+    return this.#confirmedAt >= since;
   }
 
-  /** Whether a question asked at `since` or later is confirmed within `milliseconds`. */
+  /**
+   * Resolves with whether a request sent at `since` or later is confirmed within `milliseconds`.
+   */
   confirmedSince(since: number, milliseconds: number): Promise<boolean> {
     if (this.isConfirmedSince(since)) return Promise.resolve(true);
     return new Promise((resolve) => {
@@ -82,7 +86,6 @@
     });
   }
 
-  /** Callers that wait at present. */
   get waiting(): number {
     return this.#waiters.size;
   }
--- a/src/cluster/contract.ts
+++ b/src/cluster/contract.ts
@@ -4,42 +4,41 @@
 import type { ClusterCommand, CommandOutcome } from './machine';
 import type { RetirementState, StoreView } from './view';
 
-/** Who leads the cluster's state, as far as a process knows. */
+/** The leader of the cluster state as last known to a process; it may be outdated. */
 export interface LeaderHint {
   readonly name: string;
   readonly address: string;
   readonly term: number;
 }
 
-export interface Greeting {
+export interface HeartbeatRequest {
   readonly node: NodeInfo;
   readonly status: NodeStatus;
-  /** Digest of the list of nodes that the asker has. */
+  /** Digest of the nodes known to the sender, as in `NodeDirectory.digest`. */
   readonly nodesDigest: string;
 }
 
-export interface GreetingAnswer {
+export interface HeartbeatResponse {
   readonly node: NodeInfo;
-  /** The nodes that the answerer knows; left out if the asker has the same list. */
+  /** Nodes known to the responder; undefined if the digests are equal. */
   readonly nodes: readonly NodeInfo[] | undefined;
   readonly leader: LeaderHint | undefined;
   readonly configurationVersion: number;
   readonly viewEpoch: number;
   /**
-   * Whether the answerer leads, so that no newer configuration than it names was acknowledged before it
-   * answered. Former builds leave it out.
+   * Whether the responder leads, so that no configuration newer than `configurationVersion` had
+   * been acknowledged when it responded. Earlier versions omit it.
    */
   readonly confirms?: boolean;
 }
 
-/** A configuration as it was accepted. */
 export interface VersionedConfiguration {
   readonly version: number;
-  /** The operators' own text. */
+  /** Text as submitted by the operator. */
   readonly text: string;
 }
 
-/** Answer of a member of the replicated state to what only its leader may do. */
+/** Response of a replica to a call that only the leader can serve. */
 export type LeaderAnswer<Value> =
   | { readonly kind: 'done'; readonly value: Value }
   | { readonly kind: 'not-leader'; readonly leader: LeaderHint | undefined }
@@ -47,11 +46,17 @@
 
 export type RetirementOutcome = RetirementState | 'unknown-store' | 'too-few-stores';
 
-/** What processes ask of one another to form one system. */
+/** Calls and casts between the processes of a cluster. */
 export interface ClusterContract {
   readonly calls: {
-    readonly 'cluster.greet': { readonly request: Greeting; readonly answer: GreetingAnswer };
-    /** Asks the first seed for the right to found the replicated state. */
+    readonly 'cluster.greet': {
+      readonly request: HeartbeatRequest;
+      readonly answer: HeartbeatResponse;
+    };
+    /**
+     * Requests permission of the first seed to bootstrap the cluster state; the request is the host
+     * name.
+     */
     readonly 'cluster.found': { readonly request: string; readonly answer: boolean };
     readonly 'cluster.propose': {
       readonly request: ClusterCommand;
@@ -69,7 +74,7 @@
       readonly request: string;
       readonly answer: LeaderAnswer<RetirementOutcome>;
     };
-    /** Asks the leader for parts of teams' quotas. */
+    /** Requests shares of team quotas. */
     readonly 'cluster.quotas': {
       readonly request: QuotaReport;
       readonly answer: LeaderAnswer<QuotaGrants>;
--- a/src/cluster/directory.ts
+++ b/src/cluster/directory.ts
@@ -1,10 +1,10 @@
 import { type Clock, digestText } from '../core';
 import type { KnownNode, NodeInfo, NodeKind, NodeStatus } from './node';
 
-/** Time after which a node that nobody has heard of is forgotten; milliseconds. */
-const FORGET_MILLISECONDS = 10_000;
+/** Time after which a node that was neither heard from nor reported is removed. */
+const EXPIRY_MILLISECONDS = 10_000;
 
-/** The processes of the system that this one knows of, by name. */
+/** Membership table: the processes that this one knows of, by name. */
 export class NodeDirectory {
   readonly #clock: Clock;
   readonly #nodes = new Map<string, KnownNode>();
@@ -14,20 +14,23 @@
     this.#clock = clock;
   }
 
-  /** Notes what a node says of itself. */
-  hear(node: NodeInfo, status: NodeStatus): void {
+  recordHeartbeat(node: NodeInfo, status: NodeStatus): void {
     const heardAt = this.#clock.monotonic();
     this.#set({ node, status, heardAt });
   }
 
-  /** Notes a node that another one knows. What a node itself has said goes first. */
+  /**
+   * Records a node reported by another one. It replaces what the node's own heartbeat said only if
+   * the report names another run and no heartbeat came for {@link
+   * HEARTBEAT_PRECEDENCE_MILLISECONDS}.
+   */
   learn(node: NodeInfo): void {
     const known = this.#nodes.get(node.name);
     const now = this.#clock.monotonic();
     if (known === undefined) this.#set({ node, status: undefined, heardAt: now });
     else if (known.status === undefined) this.#set({ ...known, node, heardAt: now });
     else if (known.node.run === node.run) return;
-    else if (now - known.heardAt > HEARSAY_AFTER_MILLISECONDS) {
+    else if (now - known.heardAt > HEARTBEAT_PRECEDENCE_MILLISECONDS) {
       this.#set({ node, status: undefined, heardAt: now });
     }
   }
@@ -36,9 +39,9 @@
     return this.#nodes.get(name);
   }
 
-  /** All nodes that are not forgotten yet. */
+  /** Removes expired nodes and returns the others. */
   all(): readonly KnownNode[] {
-    const since = this.#clock.monotonic() - FORGET_MILLISECONDS;
+    const since = this.#clock.monotonic() - EXPIRY_MILLISECONDS;
     for (const [name, { heardAt }] of this.#nodes) {
       if (heardAt >= since) continue;
       this.#nodes.delete(name);
@@ -47,7 +50,7 @@
     return [...this.#nodes.values()];
   }
 
-  /** Number of the nodes known, those included that nobody has heard of for a while. */
+  /** Number of nodes, including expired ones that {@link all} has not removed yet. */
   get size(): number {
     return this.#nodes.size;
   }
@@ -56,13 +59,15 @@
     return this.all().filter(({ node }) => node.kind === kind);
   }
 
-  /** Nodes that greeted this one within a time. */
-  heardWithin(milliseconds: number): readonly KnownNode[] {
+  /** Nodes that sent this process a heartbeat within the last `milliseconds`. */
+  withHeartbeatWithin(milliseconds: number): readonly KnownNode[] {
     const since = this.#clock.monotonic() - milliseconds;
     return this.all().filter((known) => known.status !== undefined && known.heardAt >= since);
   }
 
-  /** Digest of the list of nodes, the same wherever the lists are. */
+  /**
+   * Digest of the nodes' names, runs and addresses; equal on processes that know the same nodes.
+   */
   get digest(): string {
     const nodes = this.all();
     this.#digest ??= digestText(
@@ -81,5 +86,5 @@
   }
 }
 
-/** Silence of a node after which hearsay of a newer run of it is believed; milliseconds. */
-const HEARSAY_AFTER_MILLISECONDS = 2000;
+/** Time without a heartbeat after which a report of another run of a node is accepted. */
+const HEARTBEAT_PRECEDENCE_MILLISECONDS = 2000;
--- a/src/cluster/errors.ts
+++ b/src/cluster/errors.ts
@@ -1,6 +1,6 @@
 import { MartenbayError } from '../core';
 
-/** The cluster's state can't be changed or read for certain at this moment. */
+/** The cluster state can't be changed or consistently read at present. */
 export class ClusterUnavailable extends MartenbayError {
   constructor(message: string, options: ErrorOptions = {}) {
     super([{ code: 'cluster_unavailable', path: [], message }], options);
--- a/src/cluster/founding.ts
+++ b/src/cluster/founding.ts
@@ -2,12 +2,11 @@
 import type { Caller } from '../link';
 import type { ClusterContract } from './contract';
 
-/** Longest wait for the first seed's answer; milliseconds. */
-const ANSWER_MILLISECONDS = 1000;
+const RESPONSE_TIMEOUT_MILLISECONDS = 1000;
 
-export interface FoundingOptions {
+export interface ClusterBootstrapOptions {
   readonly self: string;
-  /** Address of this process's connections with others, IP:port. */
+  /** IP:port on which this process accepts connections of other processes. */
   readonly address: string;
   /** Whether this is the first start of the whole system. */
   readonly isFirstStart: boolean;
@@ -18,53 +17,55 @@
 }
 
 /**
- * Decides which host founds the replicated state. At the first start all hosts have the same
- * seeds; the first of them in order grants the right once, to the first host that asks.
+ * Selects the host that bootstraps the cluster state. At the first start all hosts have the same
+ * seeds; the first seed in sorted order grants permission to the first host that requests it.
  */
 export class Founding {
-  readonly #options: FoundingOptions;
-  #grantedTo: string | undefined;
+  readonly #options: ClusterBootstrapOptions;
+  #grantee: string | undefined;
   #granted = false;
 
-  constructor(options: FoundingOptions) {
+  constructor(options: ClusterBootstrapOptions) {
     this.#options = options;
   }
 
-  /** Whether this host may found the state. */
-  get granted(): boolean {
+  /** Whether this host may bootstrap the cluster state. */
+  get isGranted(): boolean {
     return this.#granted;
   }
 
-  /** Grants the right to `host` if nobody else has it and this process is the first seed. */
+  /**
+   * Grants permission to `host` if this process is the first seed and granted it to no other host.
+   */
   grant(host: string): boolean {
     const { isFirstStart, logger } = this.#options;
-    if (!isFirstStart || !this.#isArbiter) return false;
-    if (this.#grantedTo === undefined) {
-      this.#grantedTo = host;
+    if (!isFirstStart || !this.#isFirstSeed) return false;
+    if (this.#grantee === undefined) {
+      this.#grantee = host;
       logger.info({ event: 'founding-granted', host });
     }
-    return this.#grantedTo === host;
+    return this.#grantee === host;
   }
 
-  /** Asks for the right, once the host's own copy of the state is known to be new. */
-  async ask(): Promise<void> {
+  /** Requests permission; only to be called while this host's replica is new. */
+  async requestGrant(): Promise<void> {
     const { self, isFirstStart, peers, logger } = this.#options;
-    const arbiter = this.#arbiter;
-    if (!isFirstStart || this.#granted || arbiter === undefined) return;
+    const firstSeed = this.#firstSeed;
+    if (!isFirstStart || this.#granted || firstSeed === undefined) return;
     try {
-      this.#granted = this.#isArbiter
+      this.#granted = this.#isFirstSeed
         ? this.grant(self)
-        : await peers.call(arbiter, 'cluster.found', self, ANSWER_MILLISECONDS);
+        : await peers.call(firstSeed, 'cluster.found', self, RESPONSE_TIMEOUT_MILLISECONDS);
     } catch (error) {
       logger.debug({ event: 'founding-not-asked', error: messageOf(error) });
     }
   }
 
-  get #arbiter(): string | undefined {
+  get #firstSeed(): string | undefined {
     return [...this.#options.seeds()].sort()[0];
   }
 
-  get #isArbiter(): boolean {
-    return this.#arbiter === this.#options.address;
+  get #isFirstSeed(): boolean {
+    return this.#firstSeed === this.#options.address;
   }
 }
--- a/src/cluster/greeter.ts
+++ b/src/cluster/greeter.ts
@@ -3,7 +3,7 @@
 import type { Confirmation } from './confirmation';
 import type {
   ClusterContract,
-  GreetingAnswer,
+  HeartbeatResponse,
   LeaderHint,
   VersionedConfiguration,
 } from './contract';
@@ -12,40 +12,39 @@
 import type { NodeInfo, NodeStatus } from './node';
 import type { StoreView } from './view';
 
-/** Pause between greetings; a change must be known everywhere within 2 s. Milliseconds. */
-export const GREETING_MILLISECONDS = 300;
+/** Interval between heartbeats; a configuration change must reach every process within 2 s. */
+export const HEARTBEAT_INTERVAL_MILLISECONDS = 300;
 
-/** The same while no configuration or no view is known, as after a start. Milliseconds. */
-const STARTING_MILLISECONDS = 75;
+/** Interval while no configuration or no view is known, as after a start. */
+const STARTUP_INTERVAL_MILLISECONDS = 75;
 
 /**
- * Age of the last confirmation from which on the process greets as after a start: three greetings have
- * brought none, so a new leader is most likely being elected. Milliseconds.
+ * Age of the last confirmation above which an election is assumed and heartbeats are sent more
+ * often: three heartbeats to the leader have not been confirmed.
  */
-const UNCONFIRMED_MILLISECONDS = 1000;
+const CONFIRMATION_TIMEOUT_MILLISECONDS = 1000;
 
 /**
- * Keepers that are greeted each time beside the leader, in turn. Five others are each greeted within a
- * second, well before a new leader among them takes silence for a loss (2 s).
+ * Seeds and replicas per round in addition to the leader, in rotation. Five of them all receive a
+ * heartbeat within 1 s, less than the failure timeout of a newly elected leader (2 s).
  */
-const OTHERS_AT_A_TIME = 2;
+const RECIPIENTS_PER_ROUND = 2;
 
 /**
- * Time that each process adds to the pause while nobody leads, so that a keeper of 380 is asked by all of
- * them no more than a thousand times a second. Milliseconds.
+ * Added to the interval for each known node while there is no leader, so that the total rate of
+ * heartbeats does not grow with the cluster.
  */
-const LEADERLESS_PER_NODE_MILLISECONDS = 1;
+const LEADERLESS_INTERVAL_PER_NODE_MILLISECONDS = 1;
 
-/** Longest wait for an answer; milliseconds. */
-const ANSWER_MILLISECONDS = 1000;
+const RESPONSE_TIMEOUT_MILLISECONDS = 1000;
 
-/** Time for which another process's word about the leader is believed; milliseconds. */
-const HINT_MILLISECONDS = 3000;
+/** Time for which a leader reported by another process is used. */
+const LEADER_HINT_LIFETIME_MILLISECONDS = 3000;
 
 export interface GreeterOptions {
   readonly self: NodeInfo;
   readonly status: () => NodeStatus;
-  /** Addresses (IP:port) of the processes that the settings name. */
+  /** Addresses (IP:port) of the processes listed in the settings. */
   readonly seeds: () => readonly string[];
   readonly directory: NodeDirectory;
   readonly peers: Caller<ClusterContract>;
@@ -53,33 +52,36 @@
   readonly logger: Logger;
   readonly configuration: Newest<VersionedConfiguration>;
   readonly view: Newest<StoreView>;
-  /** Told when the leader confirms the newest configuration; nothing where nobody needs to know. */
+  /** Notified when the leader confirms that this process has the newest configuration. */
   readonly confirmation?: Confirmation | undefined;
-  /** Whether this process leads the cluster's state, and so needs nobody's confirmation. */
+  /** Whether this process leads the cluster state and therefore confirms itself. */
   readonly leads?: () => boolean;
 }
 
-/** Tells seeds and keepers of the cluster's state about this process, and learns from them. */
+/**
+ * Sends heartbeats to the seeds and to the replicas of the cluster state. From the responses it
+ * learns of other nodes and of the leader, and fetches a newer configuration or view.
+ */
 export class Greeter implements Component {
   readonly #options: GreeterOptions;
   readonly #task: PeriodicTask;
-  #greetedAt = -Infinity;
+  #lastSentAt = -Infinity;
   #leader: LeaderHint | undefined;
-  #leaderHeardAt = -Infinity;
-  /** Greetings up to now; they go on round the other keepers. */
+  #leaderHintAt = -Infinity;
+  /** Rounds sent so far; selects the next recipients in the rotation. */
   #round = 0;
 
   constructor(options: GreeterOptions) {
     this.#options = options;
-    this.#task = new PeriodicTask(options.clock, STARTING_MILLISECONDS, () => {
+    this.#task = new PeriodicTask(options.clock, STARTUP_INTERVAL_MILLISECONDS, () => {
       options.confirmation?.noteRunning();
       this.#confirmAsLeader();
-      if (this.#isDue()) this.#greetSome();
+      if (this.#isDue()) this.#sendRound();
     });
   }
 
   start(): void {
-    this.#greetAll();
+    this.#sendToAll();
     this.#task.start();
   }
 
@@ -87,123 +89,131 @@
     this.#task.stop();
   }
 
-  /** The leader of the newest term that others spoke of lately. */
+  /** The leader of the highest term reported within {@link LEADER_HINT_LIFETIME_MILLISECONDS}. */
   get leader(): LeaderHint | undefined {
-    const age = this.#options.clock.monotonic() - this.#leaderHeardAt;
-    return age <= HINT_MILLISECONDS ? this.#leader : undefined;
+    const age = this.#options.clock.monotonic() - this.#leaderHintAt;
+    return age <= LEADER_HINT_LIFETIME_MILLISECONDS ? this.#leader : undefined;
   }
 
-  /** Notes what another process said about the leader. */
-  hint(leader: LeaderHint | undefined): void {
+  /** Records a leader reported by another process, unless its term is lower than the known one. */
+  recordLeaderHint(leader: LeaderHint | undefined): void {
     if (leader === undefined) return;
     if (this.leader !== undefined && leader.term < this.leader.term) return;
     this.#leader = leader;
-    this.#leaderHeardAt = this.#options.clock.monotonic();
+    this.#leaderHintAt = this.#options.clock.monotonic();
   }
 
   #confirmAsLeader(): void {
-    const { clock, confirmation, leads } = this.#options;
-    if (leads?.() === true) confirmation?.confirm(clock.monotonic());
+    const { clock, confirmation, leads: isLeader } = this.#options;
+    if (isLeader?.() === true) confirmation?.confirm(clock.monotonic());
   }
 
-  /** Whether what everybody should know is missing here, as after a start. */
+  /** Whether this process has no configuration or no view yet. */
   get #isStarting(): boolean {
     const { configuration, view } = this.#options;
     return configuration.number === 0 || view.number === 0;
   }
 
-  /** Whether nobody is known to lead, as during an election. */
+  /** Whether no leader is known or the leader has not confirmed recently, as during an election. */
   get #isLeaderless(): boolean {
     const age = this.#options.confirmation?.ageMilliseconds ?? 0;
-    return this.leader === undefined || age > UNCONFIRMED_MILLISECONDS;
+    return this.leader === undefined || age > CONFIRMATION_TIMEOUT_MILLISECONDS;
   }
 
   #isDue(): boolean {
     if (this.#isStarting) return true;
     const { clock, directory } = this.#options;
-    const pause = this.#isLeaderless
-      ? Math.max(STARTING_MILLISECONDS, directory.size * LEADERLESS_PER_NODE_MILLISECONDS)
-      : GREETING_MILLISECONDS;
-    const sinceLast = clock.monotonic() - this.#greetedAt;
-    return sinceLast > pause - STARTING_MILLISECONDS / 2;
+    const interval = this.#isLeaderless
+      ? Math.max(
+          STARTUP_INTERVAL_MILLISECONDS,
+          directory.size * LEADERLESS_INTERVAL_PER_NODE_MILLISECONDS,
+        )
+      : HEARTBEAT_INTERVAL_MILLISECONDS;
+    const sinceLast = clock.monotonic() - this.#lastSentAt;
+    return sinceLast > interval - STARTUP_INTERVAL_MILLISECONDS / 2;
   }
 
-  /** Greets all seeds and keepers of the cluster's state. */
-  #greetAll(): void {
-    this.#greet(this.#addresses());
+  #sendToAll(): void {
+    this.#send(this.#addresses());
   }
 
-  /**
-   * Greets the leader and some of the others. Purpose: with fewer greetings, checks of connections and
-   * messages on loads, a request at 22 gateways and 9 stores took 12.2 ms of processor time in place of 17.5
-   * (all processes together, before stand-ins of targets).
-   */
-  #greetSome(): void {
+  /** Sends to the leader and the next recipients in the rotation; during startup to all. */
+  #sendRound(): void {
     const addresses = this.#addresses();
     const leader = this.leader?.address;
     if (this.#isStarting) {
-      this.#greet(addresses);
+      this.#send(addresses);
       return;
     }
     const others = addresses.filter((address) => address !== leader);
-    const first = this.#round * OTHERS_AT_A_TIME;
-    const chosen = Array.from(
-      { length: Math.min(OTHERS_AT_A_TIME, others.length) },
+    const first = this.#round * RECIPIENTS_PER_ROUND;
+    const recipients = Array.from(
+      { length: Math.min(RECIPIENTS_PER_ROUND, others.length) },
       (_, index) => others[(first + index) % others.length] ?? '',
     );
     this.#round += 1;
-    const isOther = leader !== undefined && leader !== this.#options.self.address;
-    this.#greet(isOther ? [leader, ...chosen] : chosen);
+    const isLeaderRemote = leader !== undefined && leader !== this.#options.self.address;
+    this.#send(isLeaderRemote ? [leader, ...recipients] : recipients);
   }
 
-  /** Addresses of the seeds and of the keepers of the cluster's state, without this process's own. */
+  /** Addresses of the seeds and replicas, without this process's own. */
   #addresses(): readonly string[] {
     const { directory, seeds, self } = this.#options;
-    const keepers = directory.all().filter(({ node }) => node.keepsClusterState);
-    const addresses = new Set([...seeds(), ...keepers.map(({ node }) => node.address)]);
+    const replicas = directory.all().filter(({ node }) => node.keepsClusterState);
+    const addresses = new Set([...seeds(), ...replicas.map(({ node }) => node.address)]);
     addresses.delete(self.address);
     return [...addresses].sort();
   }
 
-  #greet(addresses: readonly string[]): void {
-    this.#greetedAt = this.#options.clock.monotonic();
-    for (const address of addresses) void this.#greetOne(address);
+  #send(addresses: readonly string[]): void {
+    this.#lastSentAt = this.#options.clock.monotonic();
+    for (const address of addresses) void this.#sendTo(address);
   }
 
-  async #greetOne(address: string): Promise<void> {
+  async #sendTo(address: string): Promise<void> {
     const { self, status, directory, peers, clock, logger } = this.#options;
-    const askedAt = clock.monotonic();
-    const greeting = { node: self, status: status(), nodesDigest: directory.digest };
+    const requestedAt = clock.monotonic();
+    const heartbeat = { node: self, status: status(), nodesDigest: directory.digest };
     try {
-      const answer = await peers.call(address, 'cluster.greet', greeting, ANSWER_MILLISECONDS);
-      this.#take(address, answer, askedAt);
+      const response = await peers.call(
+        address,
+        'cluster.greet',
+        heartbeat,
+        RESPONSE_TIMEOUT_MILLISECONDS,
+      );
+      this.#applyResponse(address, response, requestedAt);
     } catch (error) {
       logger.debug({ event: 'greeting-failed', peer: address, error: messageOf(error) });
     }
   }
 
-  #take(address: string, answer: GreetingAnswer, askedAt: number): void {
+  #applyResponse(address: string, response: HeartbeatResponse, requestedAt: number): void {
     const { directory, configuration, view, confirmation } = this.#options;
-    directory.learn(answer.node);
-    for (const node of answer.nodes ?? []) directory.learn(node);
-    this.hint(answer.leader);
-    if (answer.configurationVersion > configuration.number) {
-      void this.#fetchConfiguration(address, answer, askedAt);
-    } else if (answer.confirms === true) confirmation?.confirm(askedAt);
-    if (answer.viewEpoch > view.number) void this.#fetchView(address);
+    directory.learn(response.node);
+    for (const node of response.nodes ?? []) directory.learn(node);
+    this.recordLeaderHint(response.leader);
+    if (response.configurationVersion > configuration.number) {
+      void this.#fetchConfiguration(address, response, requestedAt);
+    } else if (response.confirms === true) confirmation?.confirm(requestedAt);
+    if (response.viewEpoch > view.number) void this.#fetchView(address);
   }
 
   async #fetchConfiguration(
     address: string,
-    { configurationVersion, confirms }: GreetingAnswer,
-    askedAt: number,
+    { configurationVersion, confirms }: HeartbeatResponse,
+    requestedAt: number,
   ): Promise<void> {
     const { peers, configuration, confirmation, logger } = this.#options;
     try {
-      const newer = await peers.call(address, 'cluster.configuration', null, ANSWER_MILLISECONDS);
+      const newer = await peers.call(
+        address,
+        'cluster.configuration',
+        null,
+        RESPONSE_TIMEOUT_MILLISECONDS,
+      );
       if (newer !== undefined) configuration.offer(newer);
-      const isNewest = configuration.number >= configurationVersion;
-      if (confirms === true && isNewest) confirmation?.confirm(askedAt);
+      const isUpToDate = configuration.number >= configurationVersion;
+      if (confirms === true && isUpToDate) confirmation?.confirm(requestedAt);
     } catch (error) {
       logger.warn({ event: 'configuration-not-read', peer: address, error: messageOf(error) });
     }
@@ -212,7 +222,7 @@
   async #fetchView(address: string): Promise<void> {
     const { peers, view, logger } = this.#options;
     try {
-      const newer = await peers.call(address, 'cluster.view', null, ANSWER_MILLISECONDS);
+      const newer = await peers.call(address, 'cluster.view', null, RESPONSE_TIMEOUT_MILLISECONDS);
       if (newer !== undefined) view.offer(newer);
     } catch (error) {
       logger.warn({ event: 'view-not-read', peer: address, error: messageOf(error) });
--- a/src/cluster/known-state.ts
+++ b/src/cluster/known-state.ts
@@ -5,17 +5,17 @@
 import type { Newest } from './newest';
 import { type StoreView, storeViewSchema } from './view';
 
-/** Characters of records after which the newest ones take the place of all. */
-const COMPACT_CHARACTERS = 4 * 1024 * 1024;
+/** Characters of stored records above which the store is compacted to the newest of each kind. */
+const COMPACTION_THRESHOLD_CHARACTERS = 4 * 1024 * 1024;
 
 const recordSchema = z.union([
   z.object({ configuration: z.object({ version: z.number(), text: z.string() }) }),
   z.object({ view: storeViewSchema }),
 ]);
 
-type KnownRecord = z.output<typeof recordSchema>;
+type CachedRecord = z.output<typeof recordSchema>;
 
-export interface KnownStateOptions {
+export interface ClusterStateCacheOptions {
   readonly store: RecordStore;
   readonly configuration: Newest<VersionedConfiguration>;
   readonly view: Newest<StoreView>;
@@ -23,16 +23,15 @@
 }
 
 /**
- * The newest configuration and view that this process has seen, on its disk. Both were committed, so
- * after a start the process may go by them before it has heard of a leader; what is newer replaces
- * them. Purpose: when all processes start at once, callers are served without waiting for an
- * election. Nothing is decided by it: reads and changes go to the leader.
+ * Caches on disk the newest configuration and view that this process has seen. Both were committed,
+ * so after a restart callers can be served before a leader is elected; newer versions replace them.
+ * Reads and changes of the cluster state itself still go to the leader.
  */
 export class KnownState implements Component {
-  readonly #options: KnownStateOptions;
+  readonly #options: ClusterStateCacheOptions;
   #characters = 0;
 
-  constructor(options: KnownStateOptions) {
+  constructor(options: ClusterStateCacheOptions) {
     this.#options = options;
   }
 
@@ -40,12 +39,12 @@
     const { store, configuration, view } = this.#options;
     await this.#restore();
     configuration.onChange((value) => {
-      this.#keep({ configuration: value });
+      this.#persist({ configuration: value });
     });
     view.onChange((value) => {
-      this.#keep({ view: value });
+      this.#persist({ view: value });
     });
-    if (this.#characters > COMPACT_CHARACTERS) await store.compact(this.#compaction());
+    if (this.#characters > COMPACTION_THRESHOLD_CHARACTERS) await store.compact(this.#compaction());
   }
 
   stop(): Promise<void> {
@@ -61,25 +60,25 @@
       if ('view' in record) view.offer(record.view);
       else configuration.offer(record.configuration);
     }
-    const known = { configuration: configuration.number, epoch: view.number };
-    logger.info({ event: 'known-state-read', ...known });
+    const versions = { configuration: configuration.number, epoch: view.number };
+    logger.info({ event: 'known-state-read', ...versions });
   }
 
-  #keep(record: KnownRecord): void {
+  #persist(record: CachedRecord): void {
     const { store, logger } = this.#options;
     const text = JSON.stringify(record);
     this.#characters += text.length;
-    const isLarge = this.#characters > COMPACT_CHARACTERS;
+    const isLarge = this.#characters > COMPACTION_THRESHOLD_CHARACTERS;
     if (isLarge) this.#characters = 0;
-    const kept = isLarge ? store.compact(this.#compaction()) : store.append([text]);
-    kept.catch((error: unknown) => {
+    const written = isLarge ? store.compact(this.#compaction()) : store.append([text]);
+    written.catch((error: unknown) => {
       logger.warn({ event: 'known-state-not-kept', error: messageOf(error) });
     });
   }
 
   #compaction(): { snapshot: readonly string[]; records: readonly string[]; exclusive: boolean } {
     const { configuration, view } = this.#options;
-    const newest: KnownRecord[] = [];
+    const newest: CachedRecord[] = [];
     if (configuration.value !== undefined) newest.push({ configuration: configuration.value });
     if (view.value !== undefined) newest.push({ view: view.value });
     const snapshot = newest.map((record) => JSON.stringify(record));
--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -11,10 +11,10 @@
   z.object({ kind: z.literal('retire'), store: z.string(), state: retirementStateSchema }),
 ]);
 
-/** A change of the cluster's replicated state. */
+/** Command that changes the cluster state. */
 export type ClusterCommand = Readonly<z.output<typeof commandSchema>>;
 
-/** Whether a command changed the state, or found it newer already. */
+/** 'unchanged' if the state was already at that version or newer. */
 export type CommandOutcome = 'changed' | 'unchanged';
 
 const rowSchema = z.discriminatedUnion('table', [
@@ -23,22 +23,22 @@
   z.object({ table: z.literal('retirement'), store: z.string(), state: retirementStateSchema }),
 ]);
 
-export interface ClusterMachineOptions {
+export interface ClusterStateMachineOptions {
   readonly onConfiguration: (configuration: VersionedConfiguration) => void;
   readonly onView: (view: StoreView) => void;
 }
 
 /**
- * The cluster's replicated state: the newest configuration, the stores in use, and which of them
- * are to leave. The highest version of a configuration wins; a lower or equal one changes nothing.
+ * State machine of the cluster state: the newest configuration, the view and the retirements. A
+ * configuration is replaced only by a higher version.
  */
-export class ClusterMachine implements StateMachine<CommandOutcome> {
-  readonly #options: ClusterMachineOptions;
+export class ClusterStateMachine implements StateMachine<CommandOutcome> {
+  readonly #options: ClusterStateMachineOptions;
   #configuration: VersionedConfiguration | undefined;
   #view: StoreView | undefined;
   #retirements = new Map<string, RetirementState>();
 
-  constructor(options: ClusterMachineOptions) {
+  constructor(options: ClusterStateMachineOptions) {
     this.#options = options;
   }
 
@@ -75,7 +75,7 @@
     for (const text of rows) {
       const row = rowSchema.parse(JSON.parse(text));
       if (row.table === 'configuration') this.#configure(row.version, row.text);
-      else if (row.table === 'view') this.#takeView(row.view);
+      else if (row.table === 'view') this.#setView(row.view);
       else this.#retirements.set(row.store, row.state);
     }
   }
@@ -86,7 +86,7 @@
         return this.#configure(command.version, command.text);
       case 'view':
         if (command.view.epoch !== (this.#view?.epoch ?? 0) + 1) return false;
-        return this.#takeView(command.view);
+        return this.#setView(command.view);
       case 'retire':
         return this.#retire(command.store, command.state);
     }
@@ -99,14 +99,14 @@
     return true;
   }
 
-  #takeView(view: StoreView): boolean {
+  #setView(view: StoreView): boolean {
     if (view.epoch <= (this.#view?.epoch ?? 0)) return false;
     this.#view = view;
     this.#options.onView(view);
     return true;
   }
 
-  /** A completed retirement stays so. */
+  /** A completed retirement is final. */
   #retire(store: string, state: RetirementState): boolean {
     const present = this.#retirements.get(store);
     if (present === state || present === 'completed') return false;
--- a/src/cluster/member.ts
+++ b/src/cluster/member.ts
@@ -13,28 +13,31 @@
 import type { ClusterContract, LeaderAnswer, LeaderHint, VersionedConfiguration } from './contract';
 import type { NodeDirectory } from './directory';
 import type { Founding } from './founding';
-import { type ClusterCommand, ClusterMachine, type CommandOutcome } from './machine';
+import { type ClusterCommand, ClusterStateMachine, type CommandOutcome } from './machine';
 import type { Newest } from './newest';
 import type { NodeInfo } from './node';
 import { type StoreView, viewSizeFor } from './view';
 
-/** Silence of a keeper after which another host may take its place; milliseconds. */
-const SILENCE_MILLISECONDS = 2000;
+/** Time without a heartbeat after which another host may replace a replica. */
+const FAILURE_TIMEOUT_MILLISECONDS = 2000;
 
-/** Pause after which a disk that has refused a write is tried again; milliseconds. */
-const REOPEN_MILLISECONDS = 1000;
+/** Delay before the log is reopened after a failed write. */
+const REOPEN_DELAY_MILLISECONDS = 1000;
 
-/** Copies beyond those that the tolerated losses need, so that one can be replaced in peace. */
+/**
+ * Replicas beyond the required number, so that one can be replaced without reducing fault
+ * tolerance.
+ */
 const SPARE_VOTERS = 1;
 
-export interface ClusterMemberOptions {
+export interface ClusterReplicaOptions {
   readonly self: NodeInfo;
-  /** Lost disks at one time that the state must outlast. */
+  /** Simultaneous disk losses that the state must survive. */
   readonly toleratedLosses: number;
   readonly directory: NodeDirectory;
   readonly founding: Founding;
   readonly peers: Caller<ClusterContract>;
-  /** Opens what the disk holds; called again after the disk has refused a write. */
+  /** Opens the stored log; called again after a failed write. */
   readonly openStore: () => RecordStore;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -43,17 +46,17 @@
   readonly view: Newest<StoreView>;
 }
 
-/** This host's copy of the cluster's replicated state. */
+/** This host's replica of the cluster state. */
 export class ClusterMember implements Component {
-  readonly #options: ClusterMemberOptions;
-  readonly machine: ClusterMachine;
+  readonly #options: ClusterReplicaOptions;
+  readonly stateMachine: ClusterStateMachine;
   #log: ReplicatedLog<CommandOutcome>;
-  #cancelReopening: CancelTimer = () => undefined;
+  #cancelReopen: CancelTimer = () => undefined;
 
-  constructor(options: ClusterMemberOptions) {
+  constructor(options: ClusterReplicaOptions) {
     this.#options = options;
     const { configuration, view } = options;
-    this.machine = new ClusterMachine({
+    this.stateMachine = new ClusterStateMachine({
       onConfiguration: (value) => configuration.offer(value),
       onView: (value) => view.offer(value),
     });
@@ -65,11 +68,11 @@
   }
 
   stop(): Promise<void> {
-    this.#cancelReopening();
+    this.#cancelReopen();
     return this.#log.stop();
   }
 
-  /** Hands leadership over before a planned stop. */
+  /** Transfers leadership to another replica before a planned stop. */
   handOver(): Promise<void> {
     return this.#log.handOver();
   }
@@ -78,17 +81,17 @@
     this.#log.receive(envelopes);
   }
 
-  /** Whether this member leads and holds everything that was acknowledged. */
+  /** Whether this replica leads and has applied every acknowledged command. */
   get serves(): boolean {
     return this.#log.serves;
   }
 
-  /** Whether this copy holds nothing and belongs to no membership yet. */
+  /** Whether this replica has no state and belongs to no membership yet. */
   get isNew(): boolean {
     return this.#log.term === 0 && this.#log.membership.voters.length === 0;
   }
 
-  /** This member's leadership, while it {@link serves}. */
+  /** Valid only while it {@link serves}. */
   get leadership(): Leadership {
     const { term, leaderSince } = this.#log;
     return { term, since: leaderSince };
@@ -103,7 +106,9 @@
     return address === undefined ? undefined : { name, address, term };
   }
 
-  /** Carries a command out as the leader, once enough copies exist to outlast the losses. */
+  /**
+   * Commits a command as the leader; refused while too few replicas exist for the tolerated losses.
+   */
   async propose(command: ClusterCommand): Promise<LeaderAnswer<CommandOutcome>> {
     if (!this.#log.serves) return { kind: 'not-leader', leader: this.leader };
     const voters = this.#log.membership.voters.length;
@@ -118,7 +123,7 @@
     }
   }
 
-  /** Reads as the leader what nobody else can have replaced. */
+  /** Linearizable read; answered only by the leader. */
   read<Value>(read: () => Value): LeaderAnswer<Value> {
     if (!this.#log.serves) return { kind: 'not-leader', leader: this.leader };
     return { kind: 'done', value: read() };
@@ -136,7 +141,7 @@
           this.#send(envelope);
         },
       },
-      machine: this.machine,
+      machine: this.stateMachine,
       clock,
       random,
       onChange: () => {
@@ -148,16 +153,18 @@
       },
       onFailure: (error) => {
         logger.error({ event: 'cluster-state-unwritable', error: messageOf(error) });
-        this.#reopenLater(log);
+        this.#scheduleReopen(log);
       },
     });
     return log;
   }
 
-  /** Begins again on what the disk holds, as after a restart; the state takes commands twice. */
-  #reopenLater(failed: ReplicatedLog<CommandOutcome>): void {
+  /**
+   * Rebuilds the log from disk as after a restart; the state machine tolerates repeated commands.
+   */
+  #scheduleReopen(failed: ReplicatedLog<CommandOutcome>): void {
     const { clock, logger } = this.#options;
-    this.#cancelReopening = clock.after(REOPEN_MILLISECONDS, () => {
+    this.#cancelReopen = clock.after(REOPEN_DELAY_MILLISECONDS, () => {
       if (this.#log !== failed) return;
       const log = this.#createLog();
       this.#log = log;
@@ -167,7 +174,7 @@
         },
         (error: unknown) => {
           logger.error({ event: 'cluster-state-not-reopened', error: messageOf(error) });
-          this.#reopenLater(log);
+          this.#scheduleReopen(log);
         },
       );
     });
@@ -179,23 +186,23 @@
   }
 
   /**
-   * Hosts that are to hold the state: those that are there, and silent members as long as there
-   * are not enough others. The one that may found the state names itself alone.
+   * Hosts that should hold a replica: hosts with recent heartbeats, current members first, and
+   * unresponsive members while too few others exist. The bootstrapping host lists only itself.
    */
   #desiredHosts(): readonly string[] {
-    const { self, directory, founding, toleratedLosses } = this.#options;
-    if (founding.granted && this.#log.term === 0) return [self.name];
-    const keepers = directory.all().filter(({ node }) => node.keepsClusterState);
+    const { self, directory, founding: bootstrap, toleratedLosses } = this.#options;
+    if (bootstrap.isGranted && this.#log.term === 0) return [self.name];
+    const replicas = directory.all().filter(({ node }) => node.keepsClusterState);
     if (this.#log.role !== 'leader') {
-      return keepers.map(({ node }) => node.name).filter((name) => name !== self.name);
+      return replicas.map(({ node }) => node.name).filter((name) => name !== self.name);
     }
     const members = allMembers(this.#log.membership).map(nameOf);
-    const alive = directory
-      .heardWithin(SILENCE_MILLISECONDS)
+    const responsive = directory
+      .withHeartbeatWithin(FAILURE_TIMEOUT_MILLISECONDS)
       .filter(({ node }) => node.keepsClusterState)
       .map(({ node }) => node.name)
       .sort((left, right) => Number(members.includes(right)) - Number(members.includes(left)));
-    const others = alive.filter((name) => name !== self.name);
+    const others = responsive.filter((name) => name !== self.name);
     const limit = viewSizeFor(toleratedLosses) + SPARE_VOTERS;
     const chosen = [self.name, ...others].slice(0, limit);
     if (chosen.length >= viewSizeFor(toleratedLosses)) return chosen;
--- a/src/cluster/newest.ts
+++ b/src/cluster/newest.ts
@@ -1,25 +1,25 @@
-/** The newest of a series of numbered values that this process has seen; it never goes back. */
+/** Holds the value with the highest version seen by this process; older versions are ignored. */
 export class Newest<Value> {
   readonly #listeners: ((value: Value) => void)[] = [];
-  readonly #numberOf: (value: Value) => number;
+  readonly #versionOf: (value: Value) => number;
   #value: Value | undefined;
 
-  constructor(numberOf: (value: Value) => number) {
-    this.#numberOf = numberOf;
+  constructor(versionOf: (value: Value) => number) {
+    this.#versionOf = versionOf;
   }
 
   get value(): Value | undefined {
     return this.#value;
   }
 
-  /** Number of the value; 0 before the first. */
+  /** Version of the current value; 0 while there is none. */
   get number(): number {
-    return this.#value === undefined ? 0 : this.#numberOf(this.#value);
+    return this.#value === undefined ? 0 : this.#versionOf(this.#value);
   }
 
-  /** Takes a value if it is newer than the one held; returns whether it was. */
+  /** Stores `value` and notifies the listeners if its version is higher; returns whether it is. */
   offer(value: Value): boolean {
-    if (this.#value !== undefined && this.#numberOf(value) <= this.number) return false;
+    if (this.#value !== undefined && this.#versionOf(value) <= this.number) return false;
     this.#value = value;
     for (const listener of this.#listeners) listener(value);
     return true;
--- a/src/cluster/node.ts
+++ b/src/cluster/node.ts
@@ -1,35 +1,33 @@
-/** What kind of work a process of the system does. */
 export type NodeKind = 'gateway' | 'store';
 
-/** One process of the system, as it describes itself. */
+/** Description that a process sends of itself. */
 export interface NodeInfo {
-  /** The host's name, which is the process's name as well. */
+  /** Name of the host, and of the process on it. */
   readonly name: string;
   readonly kind: NodeKind;
-  /** IP:port of its connections with other processes. */
+  /** IP:port on which it accepts connections of other processes. */
   readonly address: string;
   readonly availabilityZone: string;
-  /** Whether its disk holds a copy of the cluster's state. */
+  /** Whether its disk holds a replica of the cluster state. */
   readonly keepsClusterState: boolean;
-  /** This run of the process; drawn at each start. */
+  /** Random identifier of this run of the process. */
   readonly run: string;
-  /** This life of its data folder; another one after a lost disk. Empty without a disk. */
+  /** Identifies the content of its data folder; new after a lost disk, empty without a disk. */
   readonly dataLife: string;
 }
 
-/** What changes about a process while it runs. */
+/** State of a process that changes while it runs. */
 export interface NodeStatus {
   readonly configurationVersion: number;
   readonly viewEpoch: number;
-  /** Of a store: the epoch at which it joined the view for which it holds everything. */
+  /** Of a store: the epoch at which it joined, once its backfill is complete. */
   readonly completeFor: number;
 }
 
-/** A process that this one knows of. */
 export interface KnownNode {
   readonly node: NodeInfo;
-  /** What it last said of itself directly; nothing if this process knows it by hearsay only. */
+  /** Status in its last heartbeat; undefined if it is known only from the reports of others. */
   readonly status: NodeStatus | undefined;
-  /** Monotonic time of its last direct greeting, or of the last hearsay; milliseconds. */
+  /** Monotonic time of its last heartbeat, or of the last report if none came; milliseconds. */
   readonly heardAt: number;
 }
--- a/src/cluster/service.ts
+++ b/src/cluster/service.ts
@@ -1,8 +1,13 @@
 import { type Component, type Logger, PeriodicTask, type Clock } from '../core';
 import type { QuotaHolder } from '../quotas';
 import type { CallHandlers, Caller, CastHandlers } from '../link';
-import type { LocalLeader } from './client';
-import type { ClusterContract, GreetingAnswer, Greeting, VersionedConfiguration } from './contract';
+import type { LocalLeaderCalls } from './client';
+import type {
+  ClusterContract,
+  HeartbeatResponse,
+  HeartbeatRequest,
+  VersionedConfiguration,
+} from './contract';
 import type { NodeDirectory } from './directory';
 import type { Founding } from './founding';
 import type { Greeter } from './greeter';
@@ -12,10 +17,10 @@
 import type { StoreView } from './view';
 import type { ViewKeeper } from './view-keeper';
 
-/** Pause between questions for the right to found the state; milliseconds. */
-const FOUNDING_MILLISECONDS = 200;
+/** Interval between requests for permission to bootstrap the cluster state. */
+const BOOTSTRAP_RETRY_MILLISECONDS = 200;
 
-/** The parts that only a host with a copy of the cluster's state has. */
+/** Components that exist only on a host with a replica of the cluster state. */
 export interface KeeperParts {
   readonly member: ClusterMember;
   readonly viewKeeper: ViewKeeper;
@@ -33,59 +38,62 @@
   readonly configuration: Newest<VersionedConfiguration>;
   readonly view: Newest<StoreView>;
   readonly keeper: KeeperParts | undefined;
-  /** Lends the teams' quotas while this process leads; nothing where it never does. */
+  /** Allocates team quotas while this process leads; absent where it never leads. */
   readonly quotas?: QuotaHolder | undefined;
 }
 
-/** Answers other processes about the cluster, and tells them of changes as the leader. */
+/** Serves the RPCs of the cluster and, as the leader, broadcasts changes of its state. */
 export class ClusterService implements Component {
   readonly #options: ClusterServiceOptions;
-  readonly #foundingTask: PeriodicTask;
+  readonly #bootstrapTask: PeriodicTask;
 
   constructor(options: ClusterServiceOptions) {
     this.#options = options;
-    const { configuration, view, clock, logger, keeper } = options;
-    this.#foundingTask = new PeriodicTask(clock, FOUNDING_MILLISECONDS, () => this.#found());
+    const { configuration, view, clock, logger, keeper: replicaComponents } = options;
+    this.#bootstrapTask = new PeriodicTask(clock, BOOTSTRAP_RETRY_MILLISECONDS, () =>
+      this.#requestBootstrap(),
+    );
     configuration.onChange((value) => {
       logger.info({ event: 'configuration-in-force', version: value.version });
-      if (keeper?.member.serves === true) this.#announce('cluster.configured', value);
+      if (replicaComponents?.member.serves === true) this.#broadcast('cluster.configured', value);
     });
     view.onChange((value) => {
       logger.info({ event: 'stores-in-use', ...value });
-      if (keeper?.member.serves === true) this.#announce('cluster.viewed', value);
+      if (replicaComponents?.member.serves === true) this.#broadcast('cluster.viewed', value);
     });
   }
 
   start(): void {
-    if (this.#options.keeper !== undefined) this.#foundingTask.start();
+    if (this.#options.keeper !== undefined) this.#bootstrapTask.start();
   }
 
   stop(): void {
-    this.#foundingTask.stop();
+    this.#bootstrapTask.stop();
   }
 
-  /** What only the leader answers, for this process's own use. */
-  get local(): LocalLeader | undefined {
-    const { keeper, quotas } = this.#options;
-    if (keeper === undefined) return undefined;
-    const { member, viewKeeper } = keeper;
+  /** Leader calls on this process's own replica; undefined without a replica. */
+  get local(): LocalLeaderCalls | undefined {
+    const { keeper: replicaComponents, quotas } = this.#options;
+    if (replicaComponents === undefined) return undefined;
+    const { member: replica, viewKeeper: viewController } = replicaComponents;
     return {
-      'cluster.propose': (command) => member.propose(command),
-      'cluster.read': () => member.read(() => member.machine.configuration),
-      'cluster.retire': (store) => viewKeeper.retire(store),
-      'cluster.retirement': (store) => viewKeeper.retirement(store),
+      'cluster.propose': (command) => replica.propose(command),
+      'cluster.read': () => replica.read(() => replica.stateMachine.configuration),
+      'cluster.retire': (store) => viewController.retire(store),
+      'cluster.retirement': (store) => viewController.retirement(store),
       'cluster.quotas': (report) => {
-        if (quotas === undefined) return { kind: 'not-now', reason: 'no quotas are lent here' };
-        return member.read(() => quotas.take(report, member.leadership));
+        if (quotas === undefined)
+          return { kind: 'not-now', reason: 'no quotas are allocated here' };
+        return replica.read(() => quotas.take(report, replica.leadership));
       },
     };
   }
 
   get calls(): CallHandlers<ClusterContract> {
-    const { founding, configuration, view } = this.#options;
+    const { founding: bootstrap, configuration, view } = this.#options;
     return {
-      'cluster.greet': (greeting) => this.#greet(greeting),
-      'cluster.found': (host) => founding.grant(host),
+      'cluster.greet': (heartbeat) => this.#answerHeartbeat(heartbeat),
+      'cluster.found': (host) => bootstrap.grant(host),
       'cluster.configuration': () => configuration.value,
       'cluster.view': () => view.value,
       ...this.local,
@@ -93,9 +101,9 @@
   }
 
   get casts(): CastHandlers<ClusterContract> {
-    const { configuration, view, keeper } = this.#options;
+    const { configuration, view, keeper: replicaComponents } = this.#options;
     return {
-      'cluster.replicate': (envelopes) => keeper?.member.receive(envelopes),
+      'cluster.replicate': (envelopes) => replicaComponents?.member.receive(envelopes),
       'cluster.configured': (value) => {
         configuration.offer(value);
       },
@@ -105,25 +113,32 @@
     };
   }
 
-  #greet({ node, status, nodesDigest }: Greeting): GreetingAnswer {
-    const { self, directory, greeter, configuration, view, keeper } = this.#options;
-    directory.hear(node, status);
+  #answerHeartbeat({ node, status, nodesDigest }: HeartbeatRequest): HeartbeatResponse {
+    const {
+      self,
+      directory,
+      greeter: heartbeatSender,
+      configuration,
+      view,
+      keeper: replicaComponents,
+    } = this.#options;
+    directory.recordHeartbeat(node, status);
     const { digest } = directory;
     const nodes = directory.all().map((known) => known.node);
     return {
       node: self,
       nodes: digest === nodesDigest ? undefined : nodes,
-      leader: keeper?.member.leader ?? greeter.leader,
+      leader: replicaComponents?.member.leader ?? heartbeatSender.leader,
       configurationVersion: configuration.number,
       viewEpoch: view.number,
-      confirms: keeper?.member.serves ?? false,
+      confirms: replicaComponents?.member.serves ?? false,
     };
   }
 
-  /** Tells all known processes at once; whoever misses it learns of it by its next greeting. */
-  #announce(name: 'cluster.configured', value: VersionedConfiguration): void;
-  #announce(name: 'cluster.viewed', value: StoreView): void;
-  #announce(
+  /** Sends a change to all known processes; one that misses it catches up at its next heartbeat. */
+  #broadcast(name: 'cluster.configured', value: VersionedConfiguration): void;
+  #broadcast(name: 'cluster.viewed', value: StoreView): void;
+  #broadcast(
     name: 'cluster.configured' | 'cluster.viewed',
     value: VersionedConfiguration | StoreView,
   ): void {
@@ -138,9 +153,14 @@
     }
   }
 
-  async #found(): Promise<void> {
-    const { keeper, founding, greeter } = this.#options;
-    const known = keeper?.member.leader ?? greeter.leader;
-    if (known === undefined && keeper?.member.isNew === true) await founding.ask();
+  async #requestBootstrap(): Promise<void> {
+    const {
+      keeper: replicaComponents,
+      founding: bootstrap,
+      greeter: heartbeatSender,
+    } = this.#options;
+    const leader = replicaComponents?.member.leader ?? heartbeatSender.leader;
+    if (leader === undefined && replicaComponents?.member.isNew === true)
+      await bootstrap.requestGrant();
   }
 }
--- a/src/cluster/tests/confirmation.test.ts
+++ b/src/cluster/tests/confirmation.test.ts
@@ -12,16 +12,15 @@
   type VersionedConfiguration,
 } from '..';
 
-/** Lets promises settle. */
-function settle(): Promise<void> {
+function settlePromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-describe('a confirmation of the newest configuration', () => {
+describe('LeaderConfirmation', () => {
   const clock = new ManualClock();
   const confirmation = new Confirmation(clock);
 
-  it('is as old as the question that was answered, not as the answer', () => {
+  it('measures the age from the time of the request, not of the response', () => {
     expect(confirmation.ageMilliseconds).toBe(Infinity);
     clock.advance(1000);
     confirmation.confirm(400);
@@ -30,13 +29,13 @@
     expect(confirmation.ageMilliseconds).toBe(600);
   });
 
-  it('ages while the process is frozen', () => {
+  it('includes the time of a process pause in the age', () => {
     clock.jump(5000);
     expect(confirmation.ageMilliseconds).toBe(5600);
   });
 
-  describe('that is waited for', () => {
-    it('comes with an answer to a later question only', async () => {
+  describe('a wait for a confirmation', () => {
+    it('resolves with true only for a request sent at or after the given time', async () => {
       const since = clock.monotonic();
       const waited = confirmation.confirmedSince(since, 500);
       confirmation.confirm(since - 1);
@@ -46,7 +45,7 @@
       expect(confirmation.waiting).toBe(0);
     });
 
-    it('is given up in time', async () => {
+    it('resolves with false at the timeout', async () => {
       const waited = confirmation.confirmedSince(clock.monotonic() + 1, 500);
       clock.advance(500);
       expect(await waited).toBe(false);
@@ -54,7 +53,7 @@
   });
 });
 
-describe('a process that greets', () => {
+describe('a heartbeat of a process without a replica', () => {
   const SELF: NodeInfo = {
     name: 'gateway',
     kind: 'gateway',
@@ -64,40 +63,42 @@
     run: '1',
     dataLife: '',
   };
-  const KEEPER: NodeInfo = { ...SELF, name: 'keeper', address: '10.0.0.2:7000' };
-  const SLOW_MILLISECONDS = 40;
+  const REPLICA: NodeInfo = { ...SELF, name: 'replica', address: '10.0.0.2:7000' };
+  const RESPONSE_DELAY_MILLISECONDS = 40;
 
-  /** Greets one keeper, which answers after 40 ms; `version` is what the keeper knows. */
-  function greetOne(version: number, confirms: boolean | undefined, told = version) {
+  /**
+   * Sends one heartbeat to a replica that reports `version` and serves the configuration `fetched`.
+   */
+  function sendHeartbeat(version: number, confirms: boolean | undefined, fetched = version) {
     const clock = new ManualClock();
     const confirmation = new Confirmation(clock);
     const configuration = new Newest<VersionedConfiguration>((value) => value.version);
     configuration.offer({ version: 3, text: '' });
     const answers: Readonly<Record<string, unknown>> = {
       'cluster.greet': {
-        node: KEEPER,
+        node: REPLICA,
         nodes: undefined,
         leader: undefined,
         configurationVersion: version,
         viewEpoch: 0,
         ...(confirms === undefined ? {} : { confirms }),
       },
-      'cluster.configuration': { version: told, text: 'newer' },
+      'cluster.configuration': { version: fetched, text: 'newer' },
     };
     const peers = {
       call: (_address: string, name: string) =>
         new Promise((resolve) => {
-          clock.after(SLOW_MILLISECONDS, () => {
+          clock.after(RESPONSE_DELAY_MILLISECONDS, () => {
             resolve(answers[name]);
           });
         }),
       cast: () => undefined,
       isConnected: () => true,
     } as unknown as Caller<ClusterContract>;
-    const greeter = new Greeter({
+    const sender = new Greeter({
       self: SELF,
       status: () => ({ configurationVersion: 3, viewEpoch: 0, completeFor: 0 }),
-      seeds: () => [KEEPER.address],
+      seeds: () => [REPLICA.address],
       directory: new NodeDirectory(clock),
       peers,
       clock,
@@ -106,42 +107,42 @@
       view: new Newest<StoreView>(({ epoch }) => epoch),
       confirmation,
     });
-    greeter.start();
-    greeter.stop();
+    sender.start();
+    sender.stop();
     return { clock, confirmation };
   }
 
-  it('is confirmed by a leader from the time of its question on', async () => {
-    const { clock, confirmation } = greetOne(3, true);
-    clock.advance(SLOW_MILLISECONDS);
-    await settle();
-    expect(confirmation.ageMilliseconds).toBe(SLOW_MILLISECONDS);
+  it('is confirmed by the leader as of the time it was sent', async () => {
+    const { clock, confirmation } = sendHeartbeat(3, true);
+    clock.advance(RESPONSE_DELAY_MILLISECONDS);
+    await settlePromises();
+    expect(confirmation.ageMilliseconds).toBe(RESPONSE_DELAY_MILLISECONDS);
   });
 
-  it('is not confirmed by a process that does not lead, or of a build that knows nothing of it', async () => {
+  it('is not confirmed by a process that does not lead or that omits `confirms`', async () => {
     for (const confirms of [false, undefined]) {
-      const { clock, confirmation } = greetOne(3, confirms);
-      clock.advance(SLOW_MILLISECONDS);
-      await settle();
+      const { clock, confirmation } = sendHeartbeat(3, confirms);
+      clock.advance(RESPONSE_DELAY_MILLISECONDS);
+      await settlePromises();
       expect(confirmation.ageMilliseconds).toBe(Infinity);
     }
   });
 
-  it('is confirmed of a newer configuration only once it has it', async () => {
-    const { clock, confirmation } = greetOne(5, true);
-    clock.advance(SLOW_MILLISECONDS);
-    await settle();
+  it('is confirmed only after a newer configuration has been fetched', async () => {
+    const { clock, confirmation } = sendHeartbeat(5, true);
+    clock.advance(RESPONSE_DELAY_MILLISECONDS);
+    await settlePromises();
     expect(confirmation.ageMilliseconds).toBe(Infinity);
-    clock.advance(SLOW_MILLISECONDS);
-    await settle();
-    expect(confirmation.ageMilliseconds).toBe(2 * SLOW_MILLISECONDS);
+    clock.advance(RESPONSE_DELAY_MILLISECONDS);
+    await settlePromises();
+    expect(confirmation.ageMilliseconds).toBe(2 * RESPONSE_DELAY_MILLISECONDS);
   });
 
-  it('is not confirmed where what it fetched is older than what was named', async () => {
-    const { clock, confirmation } = greetOne(5, true, 4);
+  it('is not confirmed if the fetched configuration is older than the reported version', async () => {
+    const { clock, confirmation } = sendHeartbeat(5, true, 4);
     for (let step = 0; step < 2; step += 1) {
-      clock.advance(SLOW_MILLISECONDS);
-      await settle();
+      clock.advance(RESPONSE_DELAY_MILLISECONDS);
+      await settlePromises();
     }
     expect(confirmation.ageMilliseconds).toBe(Infinity);
   });
--- a/src/cluster/tests/greeter.test.ts
+++ b/src/cluster/tests/greeter.test.ts
@@ -11,12 +11,12 @@
   type VersionedConfiguration,
 } from '..';
 
-const KEEPERS = 6;
-const SECOND = 1000;
+const REPLICA_COUNT = 6;
+const SECOND_MILLISECONDS = 1000;
 
-function keeper(index: number): NodeInfo {
+function replica(index: number): NodeInfo {
   return {
-    name: `keeper-${index}`,
+    name: `replica-${index}`,
     kind: 'gateway',
     address: `10.0.0.${index}:7000`,
     availabilityZone: 'a',
@@ -26,24 +26,29 @@
   };
 }
 
-/** Greets six keepers that all know who leads; returns who was greeted in each second. */
-async function greetFor(seconds: number, leads: boolean) {
+/**
+ * Sends heartbeats to six replicas, which report a leader if `hasLeader`; returns the recipients by
+ * second.
+ */
+async function sendHeartbeatsFor(seconds: number, hasLeader: boolean) {
   const clock = new ManualClock();
   const configuration = new Newest<VersionedConfiguration>(({ version }) => version);
   const view = new Newest<StoreView>(({ epoch }) => epoch);
   configuration.offer({ version: 1, text: '' });
   view.offer({ epoch: 1, members: [], quorum: 0 });
-  const keepers = Array.from({ length: KEEPERS }, (_, index) => keeper(index));
-  const [first] = keepers;
-  const leader = leads ? { name: 'keeper-0', address: first?.address ?? '', term: 1 } : undefined;
-  let greeted: string[] = [];
+  const replicas = Array.from({ length: REPLICA_COUNT }, (_, index) => replica(index));
+  const [first] = replicas;
+  const leader = hasLeader
+    ? { name: 'replica-0', address: first?.address ?? '', term: 1 }
+    : undefined;
+  let recipients: string[] = [];
   const peers = {
     call: (address: string) => {
-      greeted.push(address);
-      const node = keepers.find((one) => one.address === address);
+      recipients.push(address);
+      const node = replicas.find((candidate) => candidate.address === address);
       return Promise.resolve({
         node,
-        nodes: keepers,
+        nodes: replicas,
         leader,
         configurationVersion: 1,
         viewEpoch: 1,
@@ -52,10 +57,10 @@
     cast: () => undefined,
     isConnected: () => true,
   } as unknown as Caller<ClusterContract>;
-  const greeter = new Greeter({
-    self: { ...keeper(9), keepsClusterState: false },
+  const sender = new Greeter({
+    self: { ...replica(9), keepsClusterState: false },
     status: () => ({ configurationVersion: 1, viewEpoch: 1, completeFor: 0 }),
-    seeds: () => keepers.slice(0, 3).map(({ address }) => address),
+    seeds: () => replicas.slice(0, 3).map(({ address }) => address),
     directory: new NodeDirectory(clock),
     peers,
     clock,
@@ -63,38 +68,38 @@
     configuration,
     view,
   });
-  greeter.start();
+  sender.start();
   const bySecond: string[][] = [];
   for (let second = 0; second < seconds; second += 1) {
-    greeted = [];
+    recipients = [];
     for (let step = 0; step < 40; step += 1) {
-      clock.advance(SECOND / 40);
+      clock.advance(SECOND_MILLISECONDS / 40);
       await new Promise((resolve) => setImmediate(resolve));
     }
-    bySecond.push(greeted);
+    bySecond.push(recipients);
   }
-  greeter.stop();
+  sender.stop();
   return bySecond;
 }
 
-describe('a process that greets the keepers of the cluster state', () => {
-  it('greets the leader each time, and each other one every second', async () => {
-    const [, ...later] = await greetFor(5, true);
-    for (const greeted of later) {
-      const others = new Set(greeted.filter((address) => address !== '10.0.0.0:7000'));
-      const toLeader = greeted.filter((address) => address === '10.0.0.0:7000').length;
+describe('HeartbeatSender', () => {
+  it('sends to the leader at every interval and to each other replica every second', async () => {
+    const [, ...later] = await sendHeartbeatsFor(5, true);
+    for (const recipients of later) {
+      const others = new Set(recipients.filter((address) => address !== '10.0.0.0:7000'));
+      const toLeader = recipients.filter((address) => address === '10.0.0.0:7000').length;
       expect(toLeader).toBeGreaterThanOrEqual(3);
-      expect(others.size).toBe(KEEPERS - 1);
-      expect(greeted.length).toBeLessThanOrEqual(12);
+      expect(others.size).toBe(REPLICA_COUNT - 1);
+      expect(recipients.length).toBeLessThanOrEqual(12);
     }
   });
 
-  it('greets all of them, in turn and more often, while nobody is known to lead', async () => {
-    const [, ...later] = await greetFor(3, false);
-    for (const greeted of later) {
-      expect(new Set(greeted).size).toBe(KEEPERS);
-      expect(greeted.length).toBeGreaterThan(16);
-      expect(greeted.length).toBeLessThan(30);
+  it('sends to all replicas in rotation, at a shorter interval, while no leader is known', async () => {
+    const [, ...later] = await sendHeartbeatsFor(3, false);
+    for (const recipients of later) {
+      expect(new Set(recipients).size).toBe(REPLICA_COUNT);
+      expect(recipients.length).toBeGreaterThan(16);
+      expect(recipients.length).toBeLessThan(30);
     }
   });
 });
--- a/src/cluster/tests/known-state.test.ts
+++ b/src/cluster/tests/known-state.test.ts
@@ -4,17 +4,17 @@
 
 const VIEW: StoreView = { epoch: 3, members: [], quorum: 2 };
 
-/** Records in memory, which outlast the process that wrote them. */
+/** Keeps records across simulated restarts of the process. */
 class MemoryRecords implements RecordStore {
   records: string[] = [];
-  refuses = false;
+  failsAppends = false;
 
   load() {
     return Promise.resolve({ snapshot: undefined, records: [...this.records] });
   }
 
   append(records: readonly string[]): Promise<void> {
-    if (this.refuses) return Promise.reject(new Error('the disk is full'));
+    if (this.failsAppends) return Promise.reject(new Error('the disk is full'));
     this.records.push(...records);
     return Promise.resolve();
   }
@@ -32,13 +32,13 @@
 async function startProcess(store: RecordStore) {
   const configuration = new Newest<VersionedConfiguration>(({ version }) => version);
   const view = new Newest<StoreView>(({ epoch }) => epoch);
-  const known = new KnownState({ store, configuration, view, logger: createSilentLogger() });
-  await known.start();
+  const cache = new KnownState({ store, configuration, view, logger: createSilentLogger() });
+  await cache.start();
   return { configuration, view };
 }
 
-describe('what a process knew before it was started again', () => {
-  it('is known again before anybody was heard', async () => {
+describe('ClusterStateCache after a restart', () => {
+  it('provides the last configuration and view without contact to other processes', async () => {
     const store = new MemoryRecords();
     const before = await startProcess(store);
     before.configuration.offer({ version: 7, text: 'seven' });
@@ -49,7 +49,7 @@
     expect(after.view.value).toEqual(VIEW);
   });
 
-  it('gives way to what is newer, and is never older than what was known', async () => {
+  it('accepts a higher configuration version and rejects a lower one', async () => {
     const store = new MemoryRecords();
     const before = await startProcess(store);
     before.configuration.offer({ version: 9, text: 'nine' });
@@ -58,7 +58,7 @@
     expect(after.configuration.offer({ version: 10, text: 'ten' })).toBe(true);
   });
 
-  it('is kept in little space however often it changes', async () => {
+  it('compacts its records when the configuration changes often', async () => {
     const store = new MemoryRecords();
     const { configuration } = await startProcess(store);
     const text = 'x'.repeat(1024 * 1024);
@@ -67,9 +67,9 @@
     expect((await startProcess(store)).configuration.number).toBe(20);
   });
 
-  it('is not needed: a disk that refuses writes stops nothing', async () => {
+  it('does not prevent a configuration change when the disk rejects writes', async () => {
     const store = new MemoryRecords();
-    store.refuses = true;
+    store.failsAppends = true;
     const { configuration } = await startProcess(store);
     configuration.offer({ version: 1, text: 'one' });
     await Promise.resolve();
--- a/src/cluster/tests/machine.test.ts
+++ b/src/cluster/tests/machine.test.ts
@@ -1,18 +1,18 @@
-import { type ClusterCommand, ClusterMachine, type StoreView } from '..';
+import { type ClusterCommand, ClusterStateMachine, type StoreView } from '..';
 
-function createMachine(): ClusterMachine {
-  return new ClusterMachine({ onConfiguration: () => undefined, onView: () => undefined });
+function createMachine(): ClusterStateMachine {
+  return new ClusterStateMachine({ onConfiguration: () => undefined, onView: () => undefined });
 }
 
-function apply(machine: ClusterMachine, command: ClusterCommand) {
+function apply(machine: ClusterStateMachine, command: ClusterCommand) {
   return machine.apply(JSON.stringify(command));
 }
 
 const VIEW: StoreView = { epoch: 1, members: [], quorum: 2 };
 
-describe('the replicated state of the cluster', () => {
-  describe('its configuration', () => {
-    it('goes to the highest version only', () => {
+describe('ClusterStateMachine', () => {
+  describe('configuration', () => {
+    it('is replaced only by a higher version', () => {
       const machine = createMachine();
       const outcomes = [5, 3, 5, 8].map((version) =>
         apply(machine, { kind: 'configure', version, text: `text ${version}` }),
@@ -21,7 +21,7 @@
       expect(machine.configuration).toEqual({ version: 8, text: 'text 8' });
     });
 
-    it('keeps the first content of a version', () => {
+    it('keeps the first text of a version', () => {
       const machine = createMachine();
       apply(machine, { kind: 'configure', version: 5, text: 'first' });
       apply(machine, { kind: 'configure', version: 5, text: 'second' });
@@ -29,8 +29,8 @@
     });
   });
 
-  describe('its stores in use', () => {
-    it('change one epoch at a time, so of two plans for one epoch the first holds', () => {
+  describe('view', () => {
+    it('accepts only the next epoch, so that the first of two views of an epoch is kept', () => {
       const machine = createMachine();
       expect(apply(machine, { kind: 'view', view: VIEW })).toBe('changed');
       expect(apply(machine, { kind: 'view', view: { ...VIEW, quorum: 3 } })).toBe('unchanged');
@@ -39,8 +39,8 @@
     });
   });
 
-  describe('its retirements', () => {
-    it('stay completed', () => {
+  describe('retirements', () => {
+    it('do not return from completed to running', () => {
       const machine = createMachine();
       apply(machine, { kind: 'retire', store: 's', state: 'running' });
       apply(machine, { kind: 'retire', store: 's', state: 'completed' });
@@ -49,8 +49,8 @@
     });
   });
 
-  describe('its snapshot', () => {
-    it('brings all of it back', () => {
+  describe('snapshot', () => {
+    it('restores configuration, view and retirements', () => {
       const machine = createMachine();
       apply(machine, { kind: 'configure', version: 5, text: 'a\nb' });
       apply(machine, { kind: 'view', view: VIEW });
--- a/src/cluster/tests/member.test.ts
+++ b/src/cluster/tests/member.test.ts
@@ -13,30 +13,36 @@
 
 const STEP_MILLISECONDS = 50;
 
-/** Ten seconds of steps, ten times what an election takes. */
+/** 10 s of simulated time, well above the duration of an election. */
 const STEP_LIMIT = 200;
 
-class MemberFixture {
+class ReplicaFixture {
   readonly clock = new ManualClock();
   readonly disk = new MemoryDisk();
   readonly configuration = new Newest<VersionedConfiguration>(({ version }) => version);
-  readonly member: ClusterMember;
-  readonly #founding: Founding;
+  readonly replica: ClusterMember;
+  readonly #bootstrap: Founding;
 
   constructor(toleratedLosses: number) {
     const { clock, disk, configuration } = this;
     const logger = createSilentLogger();
     const peers = {
-      call: () => Promise.reject(new Error('nobody else is there')),
+      call: () => Promise.reject(new Error('no other process is running')),
       cast: () => undefined,
       isConnected: () => false,
     };
     const address = '10.0.0.1:7000';
     const seeds = () => [address];
-    const parts = { peers, clock, logger };
-    this.#founding = new Founding({ ...parts, self: 'g', address, isFirstStart: true, seeds });
-    this.member = new ClusterMember({
-      ...parts,
+    const dependencies = { peers, clock, logger };
+    this.#bootstrap = new Founding({
+      ...dependencies,
+      self: 'g',
+      address,
+      isFirstStart: true,
+      seeds,
+    });
+    this.replica = new ClusterMember({
+      ...dependencies,
       self: {
         name: 'g',
         kind: 'gateway',
@@ -48,7 +54,7 @@
       },
       toleratedLosses,
       directory: new NodeDirectory(clock),
-      founding: this.#founding,
+      founding: this.#bootstrap,
       openStore: () => new SegmentedStore({ folder: '/cluster', fileSystem: disk.mount() }),
       random: new SeededRandom(1),
       configuration,
@@ -57,18 +63,18 @@
   }
 
   async start(): Promise<void> {
-    await this.member.start();
-    await this.#founding.ask();
+    await this.replica.start();
+    await this.#bootstrap.requestGrant();
     await this.untilServing();
   }
 
-  /** Moves time on until the member leads. */
+  /** Advances the clock until the replica leads. */
   async untilServing(): Promise<void> {
     for (let step = 0; step < STEP_LIMIT; step += 1) {
-      if (this.member.serves) return;
+      if (this.replica.serves) return;
       await this.step();
     }
-    throw new Error('the member does not lead');
+    throw new Error('the replica did not become leader within STEP_LIMIT steps');
   }
 
   async step(): Promise<void> {
@@ -77,32 +83,32 @@
   }
 
   configure(version: number) {
-    return this.member.propose({ kind: 'configure', version, text: `text ${version}` });
+    return this.replica.propose({ kind: 'configure', version, text: `text ${version}` });
   }
 }
 
-describe('a copy of the cluster state', () => {
-  describe('before enough copies exist to outlast the tolerated losses', () => {
-    it('acknowledges nothing', async () => {
-      const fixture = new MemberFixture(1);
+describe('ClusterReplica', () => {
+  describe('with fewer replicas than the tolerated losses require', () => {
+    it('rejects commands', async () => {
+      const fixture = new ReplicaFixture(1);
       await fixture.start();
       expect(await fixture.configure(1)).toMatchObject({ kind: 'not-now' });
       expect(fixture.configuration.value).toBeUndefined();
     });
   });
 
-  describe('whose disk refuses writes for a while', () => {
-    it('acknowledges nothing meanwhile, and goes on afterwards with what it had', async () => {
-      const fixture = new MemberFixture(0);
+  describe('with a disk that temporarily rejects writes', () => {
+    it('rejects commands until the disk recovers, then continues with the committed state', async () => {
+      const fixture = new ReplicaFixture(0);
       await fixture.start();
       expect(await fixture.configure(1)).toEqual({ kind: 'done', value: 'changed' });
       fixture.disk.full = true;
       expect(await fixture.configure(2)).toMatchObject({ kind: 'not-now' });
-      expect(fixture.member.serves).toBe(false);
+      expect(fixture.replica.serves).toBe(false);
       for (let step = 0; step < 100; step += 1) await fixture.step();
       fixture.disk.full = false;
       await fixture.untilServing();
-      expect(fixture.member.machine.configuration?.version).toBe(1);
+      expect(fixture.replica.stateMachine.configuration?.version).toBe(1);
       expect(await fixture.configure(3)).toEqual({ kind: 'done', value: 'changed' });
     });
   });
--- a/src/cluster/tests/view-plan.test.ts
+++ b/src/cluster/tests/view-plan.test.ts
@@ -1,15 +1,15 @@
 import { type KnownNode, type StoreView, type ViewPlanInput, planView } from '..';
 
-interface StoreFacts {
+interface StoreOptions {
   readonly zone?: string;
-  readonly life?: string;
+  readonly dataLife?: string;
   readonly completeFor?: number;
   readonly epoch?: number;
   readonly address?: string;
 }
 
-function store(name: string, facts: StoreFacts = {}): KnownNode {
-  const { zone = name, life = 'life', completeFor = 1, epoch = 1, address = name } = facts;
+function store(name: string, options: StoreOptions = {}): KnownNode {
+  const { zone = name, dataLife = 'life', completeFor = 1, epoch = 1, address = name } = options;
   return {
     node: {
       name,
@@ -18,7 +18,7 @@
       availabilityZone: zone,
       keepsClusterState: false,
       run: '',
-      dataLife: life,
+      dataLife,
     },
     status: { configurationVersion: 0, viewEpoch: epoch, completeFor },
     heardAt: 0,
@@ -52,13 +52,13 @@
   return step?.kind === 'view' ? step.view.members.map(({ name }) => name) : undefined;
 }
 
-describe('the plan of the stores in use', () => {
-  describe('at the beginning', () => {
-    it('waits for one more store than a quorum can lose', () => {
+describe('planView', () => {
+  describe('without a view', () => {
+    it('plans nothing with fewer stores than the tolerated losses require', () => {
       expect(plan({ view: undefined, stores: [store('a'), store('b')] })).toBeUndefined();
     });
 
-    it('spreads the stores over the zones', () => {
+    it('spreads the members over the availability zones', () => {
       const stores = [
         store('a1', { zone: 'a' }),
         store('a2', { zone: 'a' }),
@@ -69,42 +69,42 @@
     });
   });
 
-  describe('with all stores there', () => {
+  describe('with all members responsive', () => {
     it('changes nothing', () => {
       expect(plan({})).toBeUndefined();
     });
 
-    it('leaves an added store as a spare', () => {
+    it('keeps an additional store as a spare', () => {
       expect(plan({ stores: ['a', 'b', 'c', 'd'].map((name) => store(name)) })).toBeUndefined();
     });
   });
 
-  describe('with a silent store', () => {
+  describe('with an unresponsive member', () => {
     const others = [store('b'), store('c')];
 
-    it('waits while nobody can take its place', () => {
+    it('changes nothing without a spare', () => {
       expect(plan({ stores: others })).toBeUndefined();
     });
 
-    it('takes in a spare in its place', () => {
+    it('replaces it with a spare', () => {
       const step = plan({ stores: [...others, store('d')] });
       expect(membersOf(step)).toEqual(['d', 'b', 'c']);
       expect(step).toMatchObject({ view: { epoch: 2, members: [{ joined: 2 }, {}, {}] } });
     });
 
-    it('does not take silence for absence when the leader is new', () => {
+    it('changes nothing while failure detection is inactive', () => {
       expect(plan({ stores: [...others, store('d')], silenceCounts: false })).toBeUndefined();
     });
 
-    it('keeps it while the others could not fill its successor', () => {
-      const filling = store('c', { completeFor: 0 });
-      expect(plan({ stores: [store('b'), filling, store('d')] })).toBeUndefined();
+    it('keeps it while fewer than a quorum of the other members are complete', () => {
+      const incomplete = store('c', { completeFor: 0 });
+      expect(plan({ stores: [store('b'), incomplete, store('d')] })).toBeUndefined();
     });
   });
 
-  describe('with a store that came back without its disk', () => {
-    it('takes it in as a new one', () => {
-      const stores = [store('a', { life: 'other', completeFor: 0 }), store('b'), store('c')];
+  describe('with a member that lost its disk', () => {
+    it('readmits it at a new joining epoch', () => {
+      const stores = [store('a', { dataLife: 'other', completeFor: 0 }), store('b'), store('c')];
       const step = plan({ stores });
       expect(step).toMatchObject({
         kind: 'view',
@@ -113,35 +113,35 @@
     });
   });
 
-  describe('with a store that has another address', () => {
-    it('keeps what it holds', () => {
+  describe('with a member that changed its address', () => {
+    it('updates the address and keeps the joining epoch', () => {
       const stores = [store('a', { address: 'a2' }), store('b'), store('c')];
       const step = plan({ stores });
       expect(step).toMatchObject({ view: { members: [{ address: 'a2', joined: 1 }, {}, {}] } });
     });
   });
 
-  describe('with a store that is to leave', () => {
+  describe('with a retiring member', () => {
     const retirements = new Map([['a', 'running' as const]]);
 
-    it('waits for a spare', () => {
+    it('changes nothing without a spare', () => {
       expect(plan({ retirements })).toBeUndefined();
     });
 
-    it('puts a spare in its place', () => {
+    it('replaces it with a spare', () => {
       const stores = ['a', 'b', 'c', 'd'].map((name) => store(name));
       expect(membersOf(plan({ retirements, stores }))).toEqual(['d', 'b', 'c']);
     });
 
-    it('is done only once its successor holds everything', () => {
+    it('completes the retirement only after the replacement is complete', () => {
       const [, b, c] = VIEW.members;
       const d = { ...b, name: 'd', address: 'd', joined: 2 } as StoreView['members'][number];
       const view = { ...VIEW, epoch: 2, members: [d, b, c] as StoreView['members'] };
       const rest = [store('b', { epoch: 2 }), store('c', { epoch: 2 })];
-      const filling = store('d', { epoch: 2, completeFor: 0 });
-      expect(plan({ view, retirements, stores: [...rest, filling] })).toBeUndefined();
-      const filled = store('d', { epoch: 2, completeFor: 2 });
-      const step = plan({ view, retirements, stores: [...rest, filled] });
+      const incomplete = store('d', { epoch: 2, completeFor: 0 });
+      expect(plan({ view, retirements, stores: [...rest, incomplete] })).toBeUndefined();
+      const complete = store('d', { epoch: 2, completeFor: 2 });
+      const step = plan({ view, retirements, stores: [...rest, complete] });
       expect(step).toEqual({ kind: 'retired', store: 'a' });
     });
   });
--- a/src/cluster/view-keeper.ts
+++ b/src/cluster/view-keeper.ts
@@ -5,16 +5,15 @@
 import { viewSizeFor } from './view';
 import { type ViewStep, planView } from './view-plan';
 
-/** Pause between plans; milliseconds. */
-const PLAN_MILLISECONDS = 150;
+const RECONCILE_INTERVAL_MILLISECONDS = 150;
 
-/** Silence of a store after which another one may take its place; milliseconds. */
-const SILENCE_MILLISECONDS = 1500;
+/** Time without a heartbeat after which another store may replace a store. */
+const FAILURE_TIMEOUT_MILLISECONDS = 1500;
 
-/** Time from a new leader's start before silence counts, so that all have greeted it. */
-const SETTLING_MILLISECONDS = 2500;
+/** Time after becoming leader before missing heartbeats count, so that all stores can send one. */
+const LEADER_GRACE_MILLISECONDS = 2500;
 
-export interface ViewKeeperOptions {
+export interface ViewControllerOptions {
   readonly member: ClusterMember;
   readonly directory: NodeDirectory;
   readonly toleratedLosses: number;
@@ -22,15 +21,17 @@
   readonly logger: Logger;
 }
 
-/** As the leader, keeps enough stores in use and empties those that are to leave. */
+/** As the leader, reconciles the view with the responsive stores and the requested retirements. */
 export class ViewKeeper implements Component {
-  readonly #options: ViewKeeperOptions;
+  readonly #options: ViewControllerOptions;
   readonly #task: PeriodicTask;
-  #ledSince: number | undefined;
+  #leaderSince: number | undefined;
 
-  constructor(options: ViewKeeperOptions) {
+  constructor(options: ViewControllerOptions) {
     this.#options = options;
-    this.#task = new PeriodicTask(options.clock, PLAN_MILLISECONDS, () => this.#keep());
+    this.#task = new PeriodicTask(options.clock, RECONCILE_INTERVAL_MILLISECONDS, () =>
+      this.#reconcile(),
+    );
   }
 
   start(): void {
@@ -41,66 +42,66 @@
     this.#task.stop();
   }
 
-  /** Takes an order to empty a store. */
+  /** Starts retiring a store if enough other stores remain. */
   async retire(store: string): Promise<LeaderAnswer<RetirementOutcome>> {
-    const { member, directory, toleratedLosses } = this.#options;
-    const { machine } = member;
-    const answer = member.read(() => machine.retirements.get(store));
+    const { member: replica, directory, toleratedLosses } = this.#options;
+    const { stateMachine } = replica;
+    const answer = replica.read(() => stateMachine.retirements.get(store));
     if (answer.kind !== 'done') return answer;
     if (answer.value !== undefined) return { kind: 'done', value: answer.value };
     if (!this.#knowsStore(store)) return { kind: 'done', value: 'unknown-store' };
     const remaining = directory
       .ofKind('store')
-      .filter(({ node }) => node.name !== store && !machine.retirements.has(node.name));
+      .filter(({ node }) => node.name !== store && !stateMachine.retirements.has(node.name));
     if (remaining.length < viewSizeFor(toleratedLosses)) {
       return { kind: 'done', value: 'too-few-stores' };
     }
-    const outcome = await member.propose({ kind: 'retire', store, state: 'running' });
+    const outcome = await replica.propose({ kind: 'retire', store, state: 'running' });
     return outcome.kind === 'done' ? { kind: 'done', value: 'running' } : outcome;
   }
 
   retirement(store: string): LeaderAnswer<RetirementOutcome> {
-    const { member } = this.#options;
-    return member.read(() => member.machine.retirements.get(store) ?? 'unknown-store');
+    const { member: replica } = this.#options;
+    return replica.read(() => replica.stateMachine.retirements.get(store) ?? 'unknown-store');
   }
 
   #knowsStore(store: string): boolean {
-    const { member, directory } = this.#options;
-    const isMember = member.machine.view?.members.some(({ name }) => name === store) ?? false;
+    const { member: replica, directory } = this.#options;
+    const isMember = replica.stateMachine.view?.members.some(({ name }) => name === store) ?? false;
     return isMember || directory.get(store)?.node.kind === 'store';
   }
 
-  async #keep(): Promise<void> {
-    const { member, clock } = this.#options;
-    if (!member.serves) {
-      this.#ledSince = undefined;
+  async #reconcile(): Promise<void> {
+    const { member: replica, clock } = this.#options;
+    if (!replica.serves) {
+      this.#leaderSince = undefined;
       return;
     }
-    this.#ledSince ??= clock.monotonic();
-    const step = this.#plan(clock.monotonic() - this.#ledSince >= SETTLING_MILLISECONDS);
-    if (step !== undefined) await this.#carryOut(step);
+    this.#leaderSince ??= clock.monotonic();
+    const step = this.#plan(clock.monotonic() - this.#leaderSince >= LEADER_GRACE_MILLISECONDS);
+    if (step !== undefined) await this.#execute(step);
   }
 
-  #plan(silenceCounts: boolean): ViewStep | undefined {
-    const { member, directory, toleratedLosses } = this.#options;
+  #plan(failureDetectionActive: boolean): ViewStep | undefined {
+    const { member: replica, directory, toleratedLosses } = this.#options;
     return planView({
-      view: member.machine.view,
+      view: replica.stateMachine.view,
       toleratedLosses,
       stores: directory
-        .heardWithin(SILENCE_MILLISECONDS)
+        .withHeartbeatWithin(FAILURE_TIMEOUT_MILLISECONDS)
         .filter(({ node }) => node.kind === 'store'),
-      retirements: member.machine.retirements,
-      silenceCounts,
+      retirements: replica.stateMachine.retirements,
+      silenceCounts: failureDetectionActive,
     });
   }
 
-  async #carryOut(step: ViewStep): Promise<void> {
-    const { member, logger } = this.#options;
+  async #execute(step: ViewStep): Promise<void> {
+    const { member: replica, logger } = this.#options;
     const command =
       step.kind === 'view'
         ? ({ kind: 'view', view: step.view } as const)
         : ({ kind: 'retire', store: step.store, state: 'completed' } as const);
-    const answer = await member.propose(command);
+    const answer = await replica.propose(command);
     const inputs = step.kind === 'view' ? { epoch: step.view.epoch, reason: step.reason } : step;
     logger.info({ event: 'stores-changed', ...inputs, outcome: answer.kind });
   }
--- a/src/cluster/view-plan.ts
+++ b/src/cluster/view-plan.ts
@@ -7,87 +7,85 @@
   viewSizeFor,
 } from './view';
 
-/** What the plan of the leader rests on. */
 export interface ViewPlanInput {
   readonly view: StoreView | undefined;
   readonly toleratedLosses: number;
-  /** Stores that have greeted the leader within the silence after which one counts as gone. */
+  /** Stores whose last heartbeat to the leader is within the failure timeout. */
   readonly stores: readonly KnownNode[];
   readonly retirements: ReadonlyMap<string, RetirementState>;
-  /** Whether the leader has led long enough to take silence for absence. */
+  /** Whether the leader has led long enough to treat a missing heartbeat as a failure. */
   readonly silenceCounts: boolean;
 }
 
-/** The next step about the stores in use. */
+/** A change of the view, or the completion of a retirement. */
 export type ViewStep =
   | { readonly kind: 'view'; readonly view: StoreView; readonly reason: string }
   | { readonly kind: 'retired'; readonly store: string };
 
 /**
- * Plans one change of the stores in use. A store that has lost its disk is taken in again as a new
- * one; a store that is to leave, or is gone, gives way to one that is not in use. A store that may
- * still hold its data is replaced only while a quorum of the others holds everything, because the
- * new one is filled from them.
+ * Plans at most one change of the view. A member that has lost its disk rejoins as a new member; a
+ * retiring or failed member is replaced by a spare. A member that may still hold its data is
+ * replaced only while a quorum of the others is complete, because they backfill the replacement.
  */
 export function planView(input: ViewPlanInput): ViewStep | undefined {
   const { view } = input;
-  if (view === undefined) return found(input);
+  if (view === undefined) return planInitialView(input);
   return (
-    readmit(input, view) ??
-    move(input, view) ??
-    replaceLeaving(input, view) ??
-    replaceSilent(input, view) ??
+    readmitWithoutData(input, view) ??
+    updateAddress(input, view) ??
+    replaceRetiring(input, view) ??
+    replaceUnresponsive(input, view) ??
     completeRetirement(input, view)
   );
 }
 
-function found(input: ViewPlanInput): ViewStep | undefined {
+function planInitialView(input: ViewPlanInput): ViewStep | undefined {
   const size = viewSizeFor(input.toleratedLosses);
-  const chosen = spreadOverZones(available(input, []), []).slice(0, size);
+  const chosen = spreadOverZones(spareStores(input, []), []).slice(0, size);
   if (chosen.length < size) return undefined;
   const members = chosen.map((known) => memberOf(known, FIRST_EPOCH));
   const quorum = input.toleratedLosses + 1;
-  return { kind: 'view', view: { epoch: FIRST_EPOCH, members, quorum }, reason: 'founded' };
+  return { kind: 'view', view: { epoch: FIRST_EPOCH, members, quorum }, reason: 'initial view' };
 }
 
-/** A member that came back under another life of its folder knows nothing any more. */
-function readmit(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
+/** A member whose `dataLife` changed has lost its data and rejoins at a new epoch. */
+function readmitWithoutData(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
   for (const member of view.members) {
     const store = input.stores.find(({ node }) => node.name === member.name);
     if (store === undefined || store.node.dataLife === member.dataLife) continue;
-    return replace(view, member, store, `${member.name} has lost its disk`);
+    return replace(view, member, store, `${member.name} lost its disk`);
   }
   return undefined;
 }
 
-/** A member whose address changed keeps what it holds. */
-function move(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
+/** A member whose address changed keeps its data and its joining epoch. */
+function updateAddress(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
   for (const member of view.members) {
     const store = input.stores.find(({ node }) => node.name === member.name);
     if (store === undefined || store.node.address === member.address) continue;
-    const moved = { ...member, address: store.node.address };
-    const members = view.members.map((other) => (other === member ? moved : other));
+    const updated = { ...member, address: store.node.address };
+    const members = view.members.map((other) => (other === member ? updated : other));
     const next = { ...view, epoch: view.epoch + 1, members };
-    return { kind: 'view', view: next, reason: `${member.name} has another address` };
+    return { kind: 'view', view: next, reason: `${member.name} changed its address` };
   }
   return undefined;
 }
 
-function replaceLeaving(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
-  const leaving = view.members.find(({ name }) => input.retirements.has(name));
-  if (leaving === undefined) return undefined;
-  return replaceBySpare(input, view, leaving, `${leaving.name} is to be taken away`);
+function replaceRetiring(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
+  const retiring = view.members.find(({ name }) => input.retirements.has(name));
+  if (retiring === undefined) return undefined;
+  return replaceWithSpare(input, view, retiring, `${retiring.name} is retiring`);
 }
 
-function replaceSilent(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
+function replaceUnresponsive(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
   if (!input.silenceCounts) return undefined;
   const names = input.stores.map(({ node }) => node.name);
-  const silent = view.members.find(({ name }) => !names.includes(name));
-  if (silent === undefined) return undefined;
-  return replaceBySpare(input, view, silent, `${silent.name} is silent`);
+  const unresponsive = view.members.find(({ name }) => !names.includes(name));
+  if (unresponsive === undefined) return undefined;
+  return replaceWithSpare(input, view, unresponsive, `${unresponsive.name} sent no heartbeat`);
 }
 
-function replaceBySpare(
+function replaceWithSpare(
   input: ViewPlanInput,
   view: StoreView,
   member: ViewMember,
@@ -96,16 +94,16 @@
   const others = view.members.filter((other) => other !== member);
   const complete = others.filter((other) => isComplete(input, other));
   if (complete.length < view.quorum) return undefined;
-  const [spare] = spreadOverZones(available(input, view.members), others);
+  const [spare] = spreadOverZones(spareStores(input, view.members), others);
   return spare === undefined ? undefined : replace(view, member, spare, reason);
 }
 
 function completeRetirement(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
   const names = view.members.map(({ name }) => name);
-  const settled = view.members.every(
-    (member) => isComplete(input, member) && knowsEpoch(input, member, view.epoch),
+  const isViewComplete = view.members.every(
+    (member) => isComplete(input, member) && hasReachedEpoch(input, member, view.epoch),
   );
-  if (!settled) return undefined;
+  if (!isViewComplete) return undefined;
   for (const [store, state] of input.retirements) {
     if (state === 'running' && !names.includes(store)) return { kind: 'retired', store };
   }
@@ -114,17 +112,17 @@
 
 function replace(view: StoreView, member: ViewMember, store: KnownNode, reason: string): ViewStep {
   const epoch = view.epoch + 1;
-  const newcomer = memberOf(store, epoch);
-  const members = view.members.map((other) => (other === member ? newcomer : other));
+  const added = memberOf(store, epoch);
+  const members = view.members.map((other) => (other === member ? added : other));
   return {
     kind: 'view',
     view: { ...view, epoch, members },
-    reason: `${reason}; ${newcomer.name} is taken in`,
+    reason: `${reason}; ${added.name} joins`,
   };
 }
 
-/** Stores that are there, not in use and not to leave. */
-function available(input: ViewPlanInput, used: readonly ViewMember[]): readonly KnownNode[] {
+/** Responsive stores that are neither members nor retiring. */
+function spareStores(input: ViewPlanInput, used: readonly ViewMember[]): readonly KnownNode[] {
   const names = used.map(({ name }) => name);
   return input.stores.filter(
     ({ node }) => !names.includes(node.name) && !input.retirements.has(node.name),
@@ -136,7 +134,7 @@
   return store?.node.dataLife === member.dataLife && store.status?.completeFor === member.joined;
 }
 
-function knowsEpoch(input: ViewPlanInput, member: ViewMember, epoch: number): boolean {
+function hasReachedEpoch(input: ViewPlanInput, member: ViewMember, epoch: number): boolean {
   const store = input.stores.find(({ node }) => node.name === member.name);
   return (store?.status?.viewEpoch ?? 0) >= epoch;
 }
@@ -146,7 +144,9 @@
   return { name, address, availabilityZone, dataLife, joined };
 }
 
-/** Orders stores so that each next one stands in the zone with the fewest chosen so far. */
+/**
+ * Orders stores so that each next one is in the availability zone with the fewest chosen so far.
+ */
 function spreadOverZones(
   stores: readonly KnownNode[],
   chosen: readonly ViewMember[],
--- a/src/cluster/view.ts
+++ b/src/cluster/view.ts
@@ -2,36 +2,36 @@
 
 const viewMemberSchema = z.object({
   name: z.string(),
-  /** IP:port of its connections with other processes. */
+  /** IP:port on which it accepts connections of other processes. */
   address: z.string(),
   availabilityZone: z.string(),
-  /** Life of its data folder; a store that lost its disk comes back under another one. */
+  /** Identifies the content of its data folder; a store that lost its disk gets a new value. */
   dataLife: z.string(),
-  /** Epoch at which it was taken in, from which it has had to be filled by the others. */
+  /** Epoch at which it joined; after the first epoch, the other members backfill it. */
   joined: z.int(),
 });
 
-/** Schema of a {@link StoreView} where it is kept on a disk. */
+/** Schema of a {@link StoreView} in stored records. */
 export const storeViewSchema = z.object({
   epoch: z.int(),
   members: z.array(viewMemberSchema.readonly()).readonly(),
-  /** Copies that a record needs before it counts, and members that must speak for an absence. */
+  /** Copies required to commit a record, and members that must answer to establish its absence. */
   quorum: z.int(),
 });
 
-/** One store that keeps copies of the turns. */
+/** A store that holds copies of turns. */
 export type ViewMember = Readonly<z.output<typeof viewMemberSchema>>;
 
-/** The stores that keep the turns; a change of them is a new epoch. */
+/** The stores that hold the turns; each change of membership or address starts a new epoch. */
 export type StoreView = Readonly<z.output<typeof storeViewSchema>>;
 
-/** Epoch of the first view, whose members need no filling. */
+/** Epoch of the initial view, whose members need no backfill. */
 export const FIRST_EPOCH = 1;
 
-/** Members that a view has where so many stores exist: one more than a quorum can lose. */
+/** Number of members with which a quorum remains after `toleratedLosses` of them are lost. */
 export function viewSizeFor(toleratedLosses: number): number {
   return 2 * toleratedLosses + 1;
 }
 
-/** Progress of a store that is to be emptied and taken away. */
+/** Progress of retiring a store: its turns are copied to other stores before it is removed. */
 export type RetirementState = 'running' | 'completed';
--- a/src/link/errors.ts
+++ b/src/link/errors.ts
@@ -1,7 +1,7 @@
 import { MartenbayError } from '../core';
 
 /** Why a call to another process of the system came to nothing. */
-export type LinkFailure =
+export type RpcFailure =
   /** No connection could be made, so the call was not carried out. */
   | 'unreachable'
   /** The connection was lost or the time is over; the call may have been carried out. */
@@ -12,15 +12,15 @@
   | 'protocol';
 
 /** Error of the connections between the system's own processes. */
-export class LinkError extends MartenbayError {
-  readonly failure: LinkFailure;
+export class RpcError extends MartenbayError {
+  readonly failure: RpcFailure;
 
-  constructor(failure: LinkFailure, message: string, options: ErrorOptions = {}) {
+  constructor(failure: RpcFailure, message: string, options: ErrorOptions = {}) {
     super([{ code: failure, path: [], message }], options);
     this.failure = failure;
   }
 
-  static of(failure: LinkFailure, message: string): LinkError {
-    return new LinkError(failure, message);
+  static of(failure: RpcFailure, message: string): RpcError {
+    return new RpcError(failure, message);
   }
 }
--- a/src/link/frame.ts
+++ b/src/link/frame.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net';
 import { DefaultSerializer, deserialize } from 'node:v8';
-import { LinkError } from './errors';
+import { RpcError } from './errors';
 
 /** Largest message; anything longer is a fault of the sender. */
 const FRAME_LIMIT_BYTES = 32 * 1024 * 1024;
@@ -18,8 +18,8 @@
   | { readonly kind: 'cast'; readonly method: string; readonly body: unknown };
 
 /**
- * Encodes a frame as a 4-byte length (big-endian) and Node's structured clone of the message. Both go into
- * one buffer, since writing two takes a corked stream and a call that gathers them.
+ * Encodes a frame as a 4-byte length (big-endian) and Node's structured clone of the message. Both
+ * go into one buffer, since writing two takes a corked stream and a call that gathers them.
  */
 export function encodeFrame(frame: Frame): Buffer {
   const serializer = new DefaultSerializer();
@@ -51,7 +51,7 @@
   #take(): Buffer | undefined {
     if (this.#available < LENGTH_BYTES) return undefined;
     const length = this.#peekLength();
-    if (length > FRAME_LIMIT_BYTES) throw LinkError.of('protocol', `a frame of ${length} bytes`);
+    if (length > FRAME_LIMIT_BYTES) throw RpcError.of('protocol', `a frame of ${length} bytes`);
     if (this.#available < LENGTH_BYTES + length) return undefined;
     const bytes = this.#joined();
     this.#chunks =
--- a/src/link/index.ts
+++ b/src/link/index.ts
@@ -1,5 +1,5 @@
 export type { CallHandlers, CallName, Caller, CastHandlers, CastName, Contract } from './contract';
-export { LinkError, type LinkFailure } from './errors';
+export { RpcError, type RpcFailure } from './errors';
 export { type Frame, FrameDecoder, encodeFrame } from './frame';
-export { LinkListener, type LinkListenerOptions } from './listener';
-export { Peers, type PeersOptions } from './peers';
+export { LinkListener, type RpcServerOptions } from './listener';
+export { Peers, type PeerConnectionsOptions } from './peers';
--- a/src/link/listener.ts
+++ b/src/link/listener.ts
@@ -2,9 +2,9 @@
 import { type Address, type Component, type Logger, messageOf } from '../core';
 import type { CallHandlers, CastHandlers, Contract } from './contract';
 import { type Frame, FrameDecoder, writeFrame } from './frame';
-import { CHECK_METHOD } from './peer';
+import { KEEPALIVE_METHOD } from './peer';
 
-export interface LinkListenerOptions<C extends Contract> {
+export interface RpcServerOptions<C extends Contract> {
   readonly address: Address;
   readonly logger: Logger;
   readonly calls: readonly CallHandlers<C>[];
@@ -16,16 +16,16 @@
 
 /** Answers the calls of the system's other processes. */
 export class LinkListener<C extends Contract> implements Component {
-  readonly #options: LinkListenerOptions<C>;
+  readonly #options: RpcServerOptions<C>;
   readonly #calls: ReadonlyMap<string, AnyCall>;
   readonly #casts: ReadonlyMap<string, AnyCast>;
   readonly #sockets = new Set<Socket>();
   readonly #server: Server;
 
-  constructor(options: LinkListenerOptions<C>) {
+  constructor(options: RpcServerOptions<C>) {
     this.#options = options;
     const calls = options.calls.flatMap((handlers) => Object.entries(handlers));
-    this.#calls = new Map([[CHECK_METHOD, () => null], ...(calls as [string, AnyCall][])]);
+    this.#calls = new Map([[KEEPALIVE_METHOD, () => null], ...(calls as [string, AnyCall][])]);
     const casts = options.casts.flatMap((handlers) => Object.entries(handlers));
     this.#casts = new Map(casts as [string, AnyCast][]);
     this.#server = createServer({ noDelay: true }, (socket) => {
--- a/src/link/peer.ts
+++ b/src/link/peer.ts
@@ -1,6 +1,6 @@
 import { type Socket, connect } from 'node:net';
 import { type Address, type CancelTimer, type Clock, formatAddress } from '../core';
-import { LinkError } from './errors';
+import { RpcError } from './errors';
 import { type Frame, FrameDecoder, writeFrame } from './frame';
 
 /**
@@ -22,15 +22,15 @@
 const BACKLOG_LIMIT_BYTES = 16 * 1024 * 1024;
 
 /** Name of the call that shows that a connection is alive. */
-export const CHECK_METHOD = 'link.check';
+export const KEEPALIVE_METHOD = 'link.check';
 
 interface PendingCall {
   readonly resolve: (body: unknown) => void;
-  readonly reject: (error: LinkError) => void;
+  readonly reject: (error: RpcError) => void;
   readonly cancel: CancelTimer;
 }
 
-export interface PeerOptions {
+export interface PeerConnectionOptions {
   readonly address: Address;
   readonly clock: Clock;
   /** Told when the connection is gained or lost. */
@@ -38,8 +38,8 @@
 }
 
 /** One connection to another process, opened by the first message and again after a loss. */
-export class Peer {
-  readonly #options: PeerOptions;
+export class PeerConnection {
+  readonly #options: PeerConnectionOptions;
   readonly #pending = new Map<number, PendingCall>();
   #socket: Socket | undefined;
   #connected = false;
@@ -49,7 +49,7 @@
   #cancelCheck: CancelTimer = () => undefined;
   #sentSinceCheck = false;
 
-  constructor(options: PeerOptions) {
+  constructor(options: PeerConnectionOptions) {
     this.#options = options;
   }
 
@@ -159,7 +159,7 @@
   #check(): void {
     const silence = this.#options.clock.monotonic() - this.#heardAt;
     if (!this.#sentSinceCheck || silence < CHECK_MILLISECONDS) return;
-    this.call(CHECK_METHOD, null, SILENCE_MILLISECONDS * 2).catch(() => undefined);
+    this.call(KEEPALIVE_METHOD, null, SILENCE_MILLISECONDS * 2).catch(() => undefined);
     this.#sentSinceCheck = false;
   }
 
@@ -180,7 +180,7 @@
     this.#options.onState(false, reason);
   }
 
-  #error(failure: LinkError['failure'], message: string): LinkError {
-    return new LinkError(failure, `${formatAddress(this.#options.address)}: ${message}`);
+  #error(failure: RpcError['failure'], message: string): RpcError {
+    return new RpcError(failure, `${formatAddress(this.#options.address)}: ${message}`);
   }
 }
--- a/src/link/peers.ts
+++ b/src/link/peers.ts
@@ -1,18 +1,18 @@
 import { type Clock, type Component, type Logger, parseAddress } from '../core';
 import type { CallName, Caller, CastName, Contract } from './contract';
-import { Peer } from './peer';
+import { PeerConnection } from './peer';
 
-export interface PeersOptions {
+export interface PeerConnectionsOptions {
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
 /** The connections of this process to others, by address. */
 export class Peers<C extends Contract> implements Component, Caller<C> {
-  readonly #options: PeersOptions;
-  readonly #peers = new Map<string, Peer>();
+  readonly #options: PeerConnectionsOptions;
+  readonly #peers = new Map<string, PeerConnection>();
 
-  constructor(options: PeersOptions) {
+  constructor(options: PeerConnectionsOptions) {
     this.#options = options;
   }
 
@@ -50,12 +50,12 @@
     this.#peers.clear();
   }
 
-  #peer(address: string): Peer {
+  #peer(address: string): PeerConnection {
     const existing = this.#peers.get(address);
     if (existing !== undefined) return existing;
     const { clock, logger } = this.#options;
     let stated: boolean | undefined;
-    const peer = new Peer({
+    const peer = new PeerConnection({
       address: parseAddress(address),
       clock,
       onState: (connected, reason) => {
