--- a/src/link/contract.ts
+++ b/src/link/contract.ts
@@ -1,4 +1,4 @@
-/** What processes may ask of one another: calls with an answer, and casts without one. */
+/** Messages of an RPC service: calls have a response, casts are one-way. */
 export interface Contract {
   readonly calls: Readonly<Record<string, { readonly request: unknown; readonly answer: unknown }>>;
   readonly casts: Readonly<Record<string, unknown>>;
@@ -7,7 +7,7 @@
 export type CallName<C extends Contract> = keyof C['calls'] & string;
 export type CastName<C extends Contract> = keyof C['casts'] & string;
 
-/** What a process does when it is called; a rejection is passed on to the caller. */
+/** Handlers of calls; the message of a rejection is returned to the calling process. */
 export type CallHandlers<C extends Contract> = {
   readonly [Name in CallName<C>]?: (
     request: C['calls'][Name]['request'],
@@ -18,17 +18,17 @@
   readonly [Name in CastName<C>]?: (body: C['casts'][Name]) => void;
 };
 
-/** Reaches other processes by address (IP:port). */
+/** Client for calls and casts to other processes by address (IP:port). */
 export interface Caller<C extends Contract> {
-  /** Makes a call; rejects with a LinkError, at the latest after `milliseconds`. */
+  /** Rejects with an RpcError, after `milliseconds` at the latest. */
   call<Name extends CallName<C>>(
     address: string,
     name: Name,
     body: C['calls'][Name]['request'],
     milliseconds: number,
   ): Promise<C['calls'][Name]['answer']>;
-  /** Sends what needs no answer; it may be lost. */
+  /** Sends a one-way message, which may be lost. */
   cast<Name extends CastName<C>>(address: string, name: Name, body: C['casts'][Name]): void;
-  /** Whether the connection to an address stands. */
+  /** Whether the connection to `address` is open. */
   isConnected(address: string): boolean;
 }
--- a/src/link/errors.ts
+++ b/src/link/errors.ts
@@ -1,17 +1,17 @@
 import { MartenbayError } from '../core';
 
-/** Why a call to another process of the system came to nothing. */
+/** Why a call failed, and whether it may have been executed. */
 export type RpcFailure =
-  /** No connection could be made, so the call was not carried out. */
+  /** The call was not sent or no connection was established; it was not executed. */
   | 'unreachable'
-  /** The connection was lost or the time is over; the call may have been carried out. */
+  /** The connection was lost or the call timed out; it may have been executed. */
   | 'lost'
-  /** The other process carried the call out and failed. */
+  /** The other process has no handler for the call, or the handler failed. */
   | 'failed'
-  /** The other side speaks another protocol. */
+  /** The peer sent an invalid frame. */
   | 'protocol';
 
-/** Error of the connections between the system's own processes. */
+/** Error of a call to another process of the cluster. */
 export class RpcError extends MartenbayError {
   readonly failure: RpcFailure;
 
--- a/src/link/frame.ts
+++ b/src/link/frame.ts
@@ -2,15 +2,15 @@
 import { DefaultSerializer, deserialize } from 'node:v8';
 import { RpcError } from './errors';
 
-/** Largest message; anything longer is a fault of the sender. */
+/** Maximum payload; a longer frame is a protocol error. */
 const FRAME_LIMIT_BYTES = 32 * 1024 * 1024;
 
 const LENGTH_BYTES = 4;
 
-/** Holds the place of the length until it is known. */
-const EMPTY_LENGTH = Buffer.alloc(LENGTH_BYTES);
+/** Placeholder that is overwritten once the length is known. */
+const LENGTH_PLACEHOLDER = Buffer.alloc(LENGTH_BYTES);
 
-/** One message of a connection. A cast expects no answer. */
+/** One message on a connection. A cast is a one-way message. */
 export type Frame =
   | { readonly kind: 'call'; readonly id: number; readonly method: string; readonly body: unknown }
   | { readonly kind: 'answer'; readonly id: number; readonly body: unknown }
@@ -18,12 +18,12 @@
   | { readonly kind: 'cast'; readonly method: string; readonly body: unknown };
 
 /**
- * Encodes a frame as a 4-byte length (big-endian) and Node's structured clone of the message. Both
- * go into one buffer, since writing two takes a corked stream and a call that gathers them.
+ * Encodes a frame as a 4-byte big-endian length and the message in Node's structured clone format.
+ * Both are in one buffer, so that a single write suffices.
  */
 export function encodeFrame(frame: Frame): Buffer {
   const serializer = new DefaultSerializer();
-  serializer.writeRawBytes(EMPTY_LENGTH);
+  serializer.writeRawBytes(LENGTH_PLACEHOLDER);
   serializer.writeHeader();
   serializer.writeValue(frame);
   const bytes = serializer.releaseBuffer();
@@ -31,42 +31,45 @@
   return bytes;
 }
 
-/** Cuts a stream of bytes into frames. */
+/** Decodes a byte stream into frames. */
 export class FrameDecoder {
   #chunks: Buffer[] = [];
   #available = 0;
 
-  /** Adds bytes and returns the frames that are whole now; throws on a frame that can't be. */
+  /**
+   * Adds bytes and returns the frames they complete; throws on a frame that is too long or invalid.
+   */
   push(chunk: Buffer): readonly Frame[] {
     this.#chunks.push(chunk);
     this.#available += chunk.length;
     const frames: Frame[] = [];
     for (;;) {
-      const payload = this.#take();
+      const payload = this.#readFrame();
       if (payload === undefined) return frames;
       frames.push(deserialize(payload) as Frame);
     }
   }
 
-  #take(): Buffer | undefined {
+  #readFrame(): Buffer | undefined {
     if (this.#available < LENGTH_BYTES) return undefined;
-    const length = this.#peekLength();
-    if (length > FRAME_LIMIT_BYTES) throw RpcError.of('protocol', `a frame of ${length} bytes`);
+    const length = this.#readLength();
+    if (length > FRAME_LIMIT_BYTES)
+      throw RpcError.of('protocol', `frame of ${length} bytes exceeds the frame limit`);
     if (this.#available < LENGTH_BYTES + length) return undefined;
-    const bytes = this.#joined();
+    const bytes = this.#joinChunks();
     this.#chunks =
       bytes.length > LENGTH_BYTES + length ? [bytes.subarray(LENGTH_BYTES + length)] : [];
     this.#available = bytes.length - LENGTH_BYTES - length;
     return bytes.subarray(LENGTH_BYTES, LENGTH_BYTES + length);
   }
 
-  #peekLength(): number {
+  #readLength(): number {
     const [first] = this.#chunks;
     if (first !== undefined && first.length >= LENGTH_BYTES) return first.readUInt32BE(0);
-    return this.#joined().readUInt32BE(0);
+    return this.#joinChunks().readUInt32BE(0);
   }
 
-  #joined(): Buffer {
+  #joinChunks(): Buffer {
     const [first] = this.#chunks;
     if (this.#chunks.length === 1 && first !== undefined) return first;
     const joined = Buffer.concat(this.#chunks);
@@ -75,7 +78,6 @@
   }
 }
 
-/** Writes a frame to a connection in one go. */
 export function writeFrame(socket: Socket, frame: Frame): void {
   socket.write(encodeFrame(frame));
 }
--- a/src/link/listener.ts
+++ b/src/link/listener.ts
@@ -11,23 +11,26 @@
   readonly casts: readonly CastHandlers<C>[];
 }
 
-type AnyCall = (request: unknown) => unknown;
-type AnyCast = (body: unknown) => void;
+type UntypedCallHandler = (request: unknown) => unknown;
+type UntypedCastHandler = (body: unknown) => void;
 
-/** Answers the calls of the system's other processes. */
+/** Accepts connections of other processes and dispatches their calls and casts. */
 export class LinkListener<C extends Contract> implements Component {
   readonly #options: RpcServerOptions<C>;
-  readonly #calls: ReadonlyMap<string, AnyCall>;
-  readonly #casts: ReadonlyMap<string, AnyCast>;
+  readonly #calls: ReadonlyMap<string, UntypedCallHandler>;
+  readonly #casts: ReadonlyMap<string, UntypedCastHandler>;
   readonly #sockets = new Set<Socket>();
   readonly #server: Server;
 
   constructor(options: RpcServerOptions<C>) {
     this.#options = options;
     const calls = options.calls.flatMap((handlers) => Object.entries(handlers));
-    this.#calls = new Map([[KEEPALIVE_METHOD, () => null], ...(calls as [string, AnyCall][])]);
+    this.#calls = new Map([
+      [KEEPALIVE_METHOD, () => null],
+      ...(calls as [string, UntypedCallHandler][]),
+    ]);
     const casts = options.casts.flatMap((handlers) => Object.entries(handlers));
-    this.#casts = new Map(casts as [string, AnyCast][]);
+    this.#casts = new Map(casts as [string, UntypedCastHandler][]);
     this.#server = createServer({ noDelay: true }, (socket) => {
       this.#accept(socket);
     });
@@ -55,7 +58,7 @@
     this.#sockets.add(socket);
     socket.on('data', (chunk) => {
       try {
-        for (const frame of decoder.push(chunk)) this.#take(socket, frame);
+        for (const frame of decoder.push(chunk)) this.#dispatch(socket, frame);
       } catch (error) {
         this.#options.logger.warn({ event: 'link-unreadable', error: messageOf(error) });
         socket.destroy();
@@ -67,7 +70,7 @@
     socket.once('close', () => this.#sockets.delete(socket));
   }
 
-  #take(socket: Socket, frame: Frame): void {
+  #dispatch(socket: Socket, frame: Frame): void {
     if (frame.kind === 'call') void this.#answer(socket, frame.id, frame.method, frame.body);
     else if (frame.kind === 'cast') this.#casts.get(frame.method)?.(frame.body);
   }
--- a/src/link/peer.ts
+++ b/src/link/peer.ts
@@ -4,24 +4,22 @@
 import { type Frame, FrameDecoder, writeFrame } from './frame';
 
 /**
- * Longest time to open a connection; a round trip between regions takes 20 ms. A host that was dark
- * is tried again this soon, while the kernel would repeat its first packet after a second.
+ * Time limit to open a connection. Shorter than the 1 s after which the kernel would repeat a lost
+ * SYN, so that a host that is back is reached sooner.
  */
-const CONNECT_MILLISECONDS = 350;
+const CONNECT_TIMEOUT_MILLISECONDS = 350;
 
-/** Pause after a failed connection before the next one; milliseconds. */
-const RETRY_MILLISECONDS = 100;
+const RECONNECT_DELAY_MILLISECONDS = 100;
 
-/** Pause between checks of a connection that is in use; milliseconds. */
-const CHECK_MILLISECONDS = 500;
+/** Interval between checks of whether a keepalive is needed. */
+const KEEPALIVE_INTERVAL_MILLISECONDS = 500;
 
-/** Silence after which a connection in use counts as dead; two checks and a margin. */
-const SILENCE_MILLISECONDS = 1500;
+/** Time without received bytes after which a connection with pending calls is closed. */
+const IDLE_TIMEOUT_MILLISECONDS = 1500;
 
-/** Bytes that may wait for a slow peer; a cast beyond that is dropped and a call fails. */
-const BACKLOG_LIMIT_BYTES = 16 * 1024 * 1024;
+/** Bytes buffered for a slow peer; above this limit a cast is dropped and a call fails. */
+const SEND_BUFFER_LIMIT_BYTES = 16 * 1024 * 1024;
 
-/** Name of the call that shows that a connection is alive. */
 export const KEEPALIVE_METHOD = 'link.check';
 
 interface PendingCall {
@@ -33,104 +31,105 @@
 export interface PeerConnectionOptions {
   readonly address: Address;
   readonly clock: Clock;
-  /** Told when the connection is gained or lost. */
+  /** Called when the connection is established or lost. */
   readonly onState: (connected: boolean, reason: string) => void;
 }
 
-/** One connection to another process, opened by the first message and again after a loss. */
+/** Connection to another process; opened by the first message, and by the next after a loss. */
 export class PeerConnection {
   readonly #options: PeerConnectionOptions;
   readonly #pending = new Map<number, PendingCall>();
   #socket: Socket | undefined;
   #connected = false;
   #failedAt = -Infinity;
-  #heardAt = -Infinity;
+  #lastReceivedAt = -Infinity;
   #lastId = 0;
-  #cancelCheck: CancelTimer = () => undefined;
-  #sentSinceCheck = false;
+  #cancelKeepalive: CancelTimer = () => undefined;
+  #sentSinceKeepalive = false;
 
   constructor(options: PeerConnectionOptions) {
     this.#options = options;
   }
 
-  /** Whether the connection stands and has answered lately. */
   get connected(): boolean {
     return this.#connected;
   }
 
-  /** Makes a call; rejects with a {@link LinkError}. */
+  /** Rejects with an {@link RpcError}, after `milliseconds` at the latest. */
   call(method: string, body: unknown, milliseconds: number): Promise<unknown> {
     return new Promise((resolve, reject) => {
       this.#lastId += 1;
       const id = this.#lastId;
       const cancel = this.#options.clock.after(milliseconds, () => {
         this.#pending.delete(id);
-        reject(this.#error('lost', `no answer to ${method} in ${milliseconds} ms`));
+        reject(this.#error('lost', `no response to ${method} within ${milliseconds} ms`));
       });
       this.#pending.set(id, { resolve, reject, cancel });
       if (this.#write({ kind: 'call', id, method, body })) return;
       this.#pending.delete(id);
       cancel();
-      reject(this.#error('unreachable', `no connection for ${method}`));
+      reject(
+        this.#error('unreachable', `not connected or send buffer full; ${method} was not sent`),
+      );
     });
   }
 
-  /** Sends a message that expects no answer; it may be lost. */
+  /** Sends a one-way message, which may be lost. */
   cast(method: string, body: unknown): void {
     this.#write({ kind: 'cast', method, body });
   }
 
   close(): void {
-    this.#lose(this.#socket, 'closed by this process');
+    this.#disconnect(this.#socket, 'closed locally');
   }
 
   #write(frame: Frame): boolean {
     const socket = this.#socket ?? this.#open();
-    if (socket === undefined || socket.writableLength > BACKLOG_LIMIT_BYTES) return false;
+    if (socket === undefined || socket.writableLength > SEND_BUFFER_LIMIT_BYTES) return false;
     writeFrame(socket, frame);
-    this.#sentSinceCheck = true;
+    this.#sentSinceKeepalive = true;
     return true;
   }
 
   #open(): Socket | undefined {
     const { address, clock } = this.#options;
-    if (clock.monotonic() - this.#failedAt < RETRY_MILLISECONDS) return undefined;
+    if (clock.monotonic() - this.#failedAt < RECONNECT_DELAY_MILLISECONDS) return undefined;
     const socket = connect({ host: address.host, port: address.port, noDelay: true });
     const decoder = new FrameDecoder();
     this.#socket = socket;
-    const cancelConnect = clock.after(CONNECT_MILLISECONDS, () => {
-      this.#lose(socket, 'the connection was not accepted in time');
+    const cancelConnect = clock.after(CONNECT_TIMEOUT_MILLISECONDS, () => {
+      this.#disconnect(socket, 'connect timeout');
     });
     socket.once('connect', () => {
       cancelConnect();
       this.#connected = true;
-      this.#heardAt = clock.monotonic();
+      this.#lastReceivedAt = clock.monotonic();
       this.#options.onState(true, 'connected');
-      this.#scheduleCheck(socket);
+      this.#scheduleKeepalive(socket);
     });
     socket.on('data', (chunk) => {
       this.#receive(socket, decoder, chunk);
     });
     socket.once('error', (error) => {
-      this.#lose(socket, error.message);
+      this.#disconnect(socket, error.message);
     });
     socket.once('close', () => {
       cancelConnect();
-      this.#lose(socket, 'closed by the other side');
+      this.#disconnect(socket, 'closed by the peer');
     });
     return socket;
   }
 
   #receive(socket: Socket, decoder: FrameDecoder, chunk: Buffer): void {
-    this.#heardAt = this.#options.clock.monotonic();
+    this.#lastReceivedAt = this.#options.clock.monotonic();
     try {
-      for (const frame of decoder.push(chunk)) this.#take(frame);
+      for (const frame of decoder.push(chunk)) this.#dispatch(frame);
     } catch (error) {
-      this.#lose(socket, error instanceof Error ? error.message : 'an unreadable frame');
+      this.#disconnect(socket, error instanceof Error ? error.message : 'invalid frame');
     }
   }
 
-  #take(frame: Frame): void {
+  #dispatch(frame: Frame): void {
     if (frame.kind === 'call' || frame.kind === 'cast') return;
     const pending = this.#pending.get(frame.id);
     if (pending === undefined) return;
@@ -140,33 +139,33 @@
     else pending.reject(this.#error('failed', frame.message));
   }
 
-  /** Finds connections whose other end is gone without a word. */
-  #scheduleCheck(socket: Socket): void {
+  /** Detects a peer that is gone without closing the connection. */
+  #scheduleKeepalive(socket: Socket): void {
     const { clock } = this.#options;
-    this.#cancelCheck = clock.after(CHECK_MILLISECONDS, () => {
+    this.#cancelKeepalive = clock.after(KEEPALIVE_INTERVAL_MILLISECONDS, () => {
       if (this.#socket !== socket) return;
-      const silence = clock.monotonic() - this.#heardAt;
-      if (silence > SILENCE_MILLISECONDS && this.#pending.size > 0) {
-        this.#lose(socket, `silent for ${Math.round(silence)} ms`);
+      const idleMilliseconds = clock.monotonic() - this.#lastReceivedAt;
+      if (idleMilliseconds > IDLE_TIMEOUT_MILLISECONDS && this.#pending.size > 0) {
+        this.#disconnect(socket, `no bytes received for ${Math.round(idleMilliseconds)} ms`);
         return;
       }
-      this.#check();
-      this.#scheduleCheck(socket);
+      this.#sendKeepaliveIfNeeded();
+      this.#scheduleKeepalive(socket);
     });
   }
 
-  /** Asks for a sign of life, unless the other end has sent one lately. */
-  #check(): void {
-    const silence = this.#options.clock.monotonic() - this.#heardAt;
-    if (!this.#sentSinceCheck || silence < CHECK_MILLISECONDS) return;
-    this.call(KEEPALIVE_METHOD, null, SILENCE_MILLISECONDS * 2).catch(() => undefined);
-    this.#sentSinceCheck = false;
+  /** Sends a keepalive call if messages were sent but nothing was received for an interval. */
+  #sendKeepaliveIfNeeded(): void {
+    const idleMilliseconds = this.#options.clock.monotonic() - this.#lastReceivedAt;
+    if (!this.#sentSinceKeepalive || idleMilliseconds < KEEPALIVE_INTERVAL_MILLISECONDS) return;
+    this.call(KEEPALIVE_METHOD, null, IDLE_TIMEOUT_MILLISECONDS * 2).catch(() => undefined);
+    this.#sentSinceKeepalive = false;
   }
 
-  #lose(socket: Socket | undefined, reason: string): void {
+  #disconnect(socket: Socket | undefined, reason: string): void {
     if (socket === undefined || this.#socket !== socket) return;
     this.#socket = undefined;
-    this.#cancelCheck();
+    this.#cancelKeepalive();
     socket.destroy();
     const wasConnected = this.#connected;
     this.#connected = false;
--- a/src/link/peers.ts
+++ b/src/link/peers.ts
@@ -7,65 +7,65 @@
   readonly logger: Logger;
 }
 
-/** The connections of this process to others, by address. */
+/** Connections of this process to others, by address; opened by the first call or cast. */
 export class Peers<C extends Contract> implements Component, Caller<C> {
   readonly #options: PeerConnectionsOptions;
-  readonly #peers = new Map<string, PeerConnection>();
+  readonly #connections = new Map<string, PeerConnection>();
 
   constructor(options: PeerConnectionsOptions) {
     this.#options = options;
   }
 
-  /** Calls a process at `address` (IP:port); rejects with a LinkError. */
+  /** Calls the process at `address` (IP:port); rejects with an {@link RpcError}. */
   call<Name extends CallName<C>>(
     address: string,
     name: Name,
     body: C['calls'][Name]['request'],
     milliseconds: number,
   ): Promise<C['calls'][Name]['answer']> {
-    return this.#peer(address).call(name, body, milliseconds);
+    return this.#connectionTo(address).call(name, body, milliseconds);
   }
 
-  /** Sends what needs no answer; it may be lost. */
+  /** Sends a one-way message, which may be lost. */
   cast<Name extends CastName<C>>(address: string, name: Name, body: C['casts'][Name]): void {
-    this.#peer(address).cast(name, body);
+    this.#connectionTo(address).cast(name, body);
   }
 
-  /** Whether the connection to an address stands. */
+  /** Whether the connection to `address` is open. */
   isConnected(address: string): boolean {
-    return this.#peers.get(address)?.connected ?? false;
+    return this.#connections.get(address)?.connected ?? false;
   }
 
-  /** Closes the connections to addresses that are not kept. */
+  /** Closes the connections to all other addresses. */
   retain(addresses: ReadonlySet<string>): void {
-    for (const [address, peer] of this.#peers) {
+    for (const [address, connection] of this.#connections) {
       if (addresses.has(address)) continue;
-      this.#peers.delete(address);
-      peer.close();
+      this.#connections.delete(address);
+      connection.close();
     }
   }
 
   stop(): void {
-    for (const peer of this.#peers.values()) peer.close();
-    this.#peers.clear();
+    for (const connection of this.#connections.values()) connection.close();
+    this.#connections.clear();
   }
 
-  #peer(address: string): PeerConnection {
-    const existing = this.#peers.get(address);
+  #connectionTo(address: string): PeerConnection {
+    const existing = this.#connections.get(address);
     if (existing !== undefined) return existing;
     const { clock, logger } = this.#options;
-    let stated: boolean | undefined;
-    const peer = new PeerConnection({
+    let reported: boolean | undefined;
+    const connection = new PeerConnection({
       address: parseAddress(address),
       clock,
       onState: (connected, reason) => {
-        if (stated === connected) return;
-        stated = connected;
+        if (reported === connected) return;
+        reported = connected;
         const event = connected ? 'peer-connected' : 'peer-lost';
         logger.info({ event, peer: address, reason });
       },
     });
-    this.#peers.set(address, peer);
-    return peer;
+    this.#connections.set(address, connection);
+    return connection;
   }
 }
--- a/src/link/tests/link.test.ts
+++ b/src/link/tests/link.test.ts
@@ -14,8 +14,8 @@
 
 const LOGGER = createSilentLogger();
 
-async function startListener(address: Address, note: (text: string) => void) {
-  const listener = new LinkListener<TestContract>({
+async function startRpcServer(address: Address, note: (text: string) => void) {
+  const rpcServer = new LinkListener<TestContract>({
     address,
     logger: LOGGER,
     calls: [
@@ -29,83 +29,83 @@
     ],
     casts: [{ note }],
   });
-  await listener.start();
-  return listener;
+  await rpcServer.start();
+  return rpcServer;
 }
 
-describe('connections between processes', () => {
+describe('RPC between processes', () => {
   let address: Address;
-  let listener: LinkListener<TestContract>;
+  let rpcServer: LinkListener<TestContract>;
   let peers: Peers<TestContract>;
-  let noted: (text: string) => void = () => undefined;
+  let onNote: (text: string) => void = () => undefined;
 
   beforeEach(async () => {
     const [free] = await findFreeAddresses(['127.0.0.1']);
-    if (free === undefined) throw new Error('no free address');
+    if (free === undefined) throw new Error('findFreeAddresses returned no address');
     address = free;
-    listener = await startListener(address, (text) => {
-      noted(text);
+    rpcServer = await startRpcServer(address, (text) => {
+      onNote(text);
     });
     peers = new Peers<TestContract>({ clock: new SystemClock(), logger: LOGGER });
   });
 
   afterEach(async () => {
     peers.stop();
-    await listener.stop();
+    await rpcServer.stop();
   });
 
   describe('a call', () => {
-    it('gets its own answer, whatever else is under way', async () => {
+    it('resolves with its own response among concurrent calls', async () => {
       const calls = [1, 2, 3].map((value) =>
         peers.call(formatAddress(address), 'double', value, 5000),
       );
       expect(await Promise.all(calls)).toEqual([2, 4, 6]);
     });
 
-    it('that fails there is rejected with the reason', async () => {
+    it('rejects with `failed` if the remote handler throws', async () => {
       const call = peers.call(formatAddress(address), 'double', -1, 5000);
       await expect(call).rejects.toMatchObject({ failure: 'failed' });
     });
 
-    it('to nobody is known not to have been carried out', async () => {
-      await listener.stop();
+    it('rejects with `unreachable` if no process listens at the address', async () => {
+      await rpcServer.stop();
       const call = peers.call(formatAddress(address), 'double', 1, 5000);
       await expect(call).rejects.toMatchObject({ failure: 'unreachable' });
     });
 
-    it('without an answer ends in time', async () => {
+    it('rejects with `lost` at its timeout', async () => {
       const clock = new ManualClock();
-      const patient = new Peers<TestContract>({ clock, logger: LOGGER });
-      const call = patient.call(formatAddress(address), 'never', null, 300);
+      const client = new Peers<TestContract>({ clock, logger: LOGGER });
+      const call = client.call(formatAddress(address), 'never', null, 300);
       clock.advance(300);
       await expect(call).rejects.toMatchObject({ failure: 'lost' });
-      patient.stop();
+      client.stop();
     });
 
-    it('under way when the other process ends is lost', async () => {
+    it('rejects with `lost` if the server stops while the call is pending', async () => {
       await peers.call(formatAddress(address), 'double', 1, 5000);
       const call = peers.call(formatAddress(address), 'never', null, 5000);
-      await listener.stop();
+      await rpcServer.stop();
       await expect(call).rejects.toMatchObject({ failure: 'lost' });
     });
   });
 
   describe('a cast', () => {
-    it('arrives', async () => {
+    it('reaches its handler', async () => {
       const arrived = new Promise<string>((resolve) => {
-        noted = resolve;
+        onNote = resolve;
       });
       peers.cast(formatAddress(address), 'note', 'hello');
       expect(await arrived).toBe('hello');
     });
   });
 
-  describe('a connection in use', () => {
-    it('is checked only once its other end has been silent for a while', async () => {
+  describe('a connection', () => {
+    it('sends a keepalive only after nothing was received for an interval', async () => {
       const clock = new ManualClock();
       const methods: string[] = [];
       let onMethod: () => void = () => undefined;
-      const answering = createServer((socket) => {
+      const server = createServer((socket) => {
         const decoder = new FrameDecoder();
         socket.on('error', () => undefined);
         socket.on('data', (chunk) => {
@@ -118,27 +118,27 @@
         });
       });
       const [free] = await findFreeAddresses(['127.0.0.1']);
-      if (free === undefined) throw new Error('no free address');
-      await new Promise<void>((resolve) => answering.listen(free.port, free.host, resolve));
-      const checking = new Peers<TestContract>({ clock, logger: LOGGER });
-      await checking.call(formatAddress(free), 'double', 1, 5000);
+      if (free === undefined) throw new Error('findFreeAddresses returned no address');
+      await new Promise<void>((resolve) => server.listen(free.port, free.host, resolve));
+      const keepaliveClient = new Peers<TestContract>({ clock, logger: LOGGER });
+      await keepaliveClient.call(formatAddress(free), 'double', 1, 5000);
       clock.advance(400);
-      await checking.call(formatAddress(free), 'double', 1, 5000);
+      await keepaliveClient.call(formatAddress(free), 'double', 1, 5000);
       clock.advance(100);
-      await checking.call(formatAddress(free), 'double', 1, 5000);
-      const checked = new Promise<void>((resolve) => {
+      await keepaliveClient.call(formatAddress(free), 'double', 1, 5000);
+      const keepaliveReceived = new Promise<void>((resolve) => {
         onMethod = resolve;
       });
       clock.advance(500);
-      await checked;
-      checking.stop();
-      answering.close();
+      await keepaliveReceived;
+      keepaliveClient.stop();
+      server.close();
       expect(methods).toEqual(['double', 'double', 'double', 'link.check']);
     });
   });
 
-  describe('bytes that are no messages', () => {
-    it('end their connection and nothing else', async () => {
+  describe('invalid frames', () => {
+    it('close only their own connection', async () => {
       const socket = connect(address.port, address.host);
       const closed = new Promise((resolve) => socket.once('close', resolve));
       socket.on('error', () => undefined);
@@ -148,8 +148,8 @@
     });
   });
 
-  describe('frames', () => {
-    it('come out whole, however their bytes are cut', () => {
+  describe('FrameDecoder', () => {
+    it('decodes frames from single-byte chunks', () => {
       const frame = { kind: 'cast', method: 'note', body: Buffer.from([1, 2, 3]) } as const;
       const bytes = Buffer.concat([encodeFrame(frame), encodeFrame(frame)]);
       const decoder = new FrameDecoder();
