--- a/src/cluster/directory.ts
+++ b/src/cluster/directory.ts
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Records a node reported by another one. It replaces what the node's own heartbeat said only if
-   * the report names another run and no heartbeat came for {@link
-   * HEARTBEAT_PRECEDENCE_MILLISECONDS}.
+   * Records a node reported by another one. The node's own heartbeat takes precedence, unless the
+   * report names another run and the last heartbeat is older than
+   * {@link HEARTBEAT_PRECEDENCE_MILLISECONDS}.
    */
   learn(node: NodeInfo): void {
     const known = this.#nodes.get(node.name);
