--- a/src/link/errors.ts
+++ b/src/link/errors.ts
@@ -1,26 +1,26 @@
 import { MartenbayError } from '../core';
 
-/** Why a call to another process of the system came to nothing. */
-export type LinkFailure =
-  /** No connection could be made, so the call was not carried out. */
+/** Why a call failed, and whether it may have been executed. */
+export type RpcFailure =
+  /** The call was not sent or no connection was established; it was not executed. */
   | 'unreachable'
-  /** The connection was lost or the time is over; the call may have been carried out. */
+  /** The connection was lost or the call timed out; it may have been executed. */
   | 'lost'
-  /** The other process carried the call out and failed. */
+  /** The other process has no handler for the call, or the handler failed. */
   | 'failed'
-  /** The other side speaks another protocol. */
+  /** The peer sent an invalid frame. */
   | 'protocol';
 
-/** Error of the connections between the system's own processes. */
-export class LinkError extends MartenbayError {
-  readonly failure: LinkFailure;
+/** Error of a call to another process of the cluster. */
+export class RpcError extends MartenbayError {
+  readonly failure: RpcFailure;
 
-  constructor(failure: LinkFailure, message: string, options: ErrorOptions = {}) {
+  constructor(failure: RpcFailure, message: string, options: ErrorOptions = {}) {
     super([{ code: failure, path: [], message }], options);
     this.failure = failure;
   }
 
-  static of(failure: LinkFailure, message: string): LinkError {
-    return new LinkError(failure, message);
+  static of(failure: RpcFailure, message: string): RpcError {
+    return new RpcError(failure, message);
   }
 }
--- a/src/link/listener.ts
+++ b/src/link/listener.ts
@@ -2,32 +2,35 @@
 import { type Address, type Component, type Logger, messageOf } from '../core';
 import type { CallHandlers, CastHandlers, Contract } from './contract';
 import { type Frame, FrameDecoder, writeFrame } from './frame';
-import { CHECK_METHOD } from './peer';
+import { KEEPALIVE_METHOD } from './peer';
 
-export interface LinkListenerOptions<C extends Contract> {
+export interface RpcServerOptions<C extends Contract> {
   readonly address: Address;
   readonly logger: Logger;
   readonly calls: readonly CallHandlers<C>[];
   readonly casts: readonly CastHandlers<C>[];
 }
 
-type AnyCall = (request: unknown) => unknown;
-type AnyCast = (body: unknown) => void;
+type UntypedCallHandler = (request: unknown) => unknown;
+type UntypedCastHandler = (body: unknown) => void;
 
-/** Answers the calls of the system's other processes. */
+/** Accepts connections of other processes and dispatches their calls and casts. */
 export class LinkListener<C extends Contract> implements Component {
-  readonly #options: LinkListenerOptions<C>;
-  readonly #calls: ReadonlyMap<string, AnyCall>;
-  readonly #casts: ReadonlyMap<string, AnyCast>;
+  readonly #options: RpcServerOptions<C>;
+  readonly #calls: ReadonlyMap<string, UntypedCallHandler>;
+  readonly #casts: ReadonlyMap<string, UntypedCastHandler>;
   readonly #sockets = new Set<Socket>();
   readonly #server: Server;
 
-  constructor(options: LinkListenerOptions<C>) {
+  constructor(options: RpcServerOptions<C>) {
     this.#options = options;
     const calls = options.calls.flatMap((handlers) => Object.entries(handlers));
-    this.#calls = new Map([[CHECK_METHOD, () => null], ...(calls as [string, AnyCall][])]);
+    this.#calls = new Map([
+      [KEEPALIVE_METHOD, () => null],
+      ...(calls as [string, UntypedCallHandler][]),
+    ]);
     const casts = options.casts.flatMap((handlers) => Object.entries(handlers));
-    this.#casts = new Map(casts as [string, AnyCast][]);
+    this.#casts = new Map(casts as [string, UntypedCastHandler][]);
     this.#server = createServer({ noDelay: true }, (socket) => {
       this.#accept(socket);
     });
@@ -55,7 +58,7 @@
     this.#sockets.add(socket);
     socket.on('data', (chunk) => {
       try {
-        for (const frame of decoder.push(chunk)) this.#take(socket, frame);
+        for (const frame of decoder.push(chunk)) this.#dispatch(socket, frame);
       } catch (error) {
         this.#options.logger.warn({ event: 'link-unreadable', error: messageOf(error) });
         socket.destroy();
@@ -67,7 +70,7 @@
     socket.once('close', () => this.#sockets.delete(socket));
   }
 
-  #take(socket: Socket, frame: Frame): void {
+  #dispatch(socket: Socket, frame: Frame): void {
     if (frame.kind === 'call') void this.#answer(socket, frame.id, frame.method, frame.body);
     else if (frame.kind === 'cast') this.#casts.get(frame.method)?.(frame.body);
   }
