--- a/bench/ablation/sets.ts
+++ b/bench/ablation/sets.ts
@@ -1,4 +1,8 @@
-import { ALL_DECISIONS, type DecisionSwitches, PLACEMENT_POLICIES } from '../../src/decisions';
+import {
+  DEFAULT_DECISION_SWITCHES,
+  type DecisionSwitches,
+  PLACEMENT_POLICY_NAMES,
+} from '../../src/decisions';
 
 /** Mechanisms that are switched off together, or a policy that takes the place of the usual one. */
 export interface SwitchSet {
@@ -11,8 +15,8 @@
 
 /** Everything in use, each mechanism off by itself, and the policies that stand for comparison. */
 export function allSets(): readonly SwitchSet[] {
-  const [, ...baselines] = PLACEMENT_POLICIES;
-  const mechanisms = Object.entries(ALL_DECISIONS).flatMap(([name, value]) =>
+  const [, ...baselines] = PLACEMENT_POLICY_NAMES;
+  const mechanisms = Object.entries(DEFAULT_DECISION_SWITCHES).flatMap(([name, value]) =>
     value === true ? [{ name: `without-${name}`, switches: { [name]: false } }] : [],
   );
   const policies = baselines.map((policy) => ({
--- a/bench/append.ts
+++ b/bench/append.ts
@@ -2,7 +2,12 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { SystemClock, SystemRandom, delay } from '../src/core';
-import { type Envelope, ReplicatedLog, type StateMachine, hostOf } from '../src/replication';
+import {
+  type Envelope,
+  ReplicatedLog,
+  type StateMachine,
+  destinationHostOf,
+} from '../src/replication';
 import { SegmentedStore } from '../src/storage';
 import { Latencies, round, runAtOnce } from './figures';
 
@@ -89,7 +94,7 @@
   const names = Array.from({ length: members }, (_, index) => `member-${index}`);
   const logs = new Map<string, ReplicatedLog<number>>();
   const send = (envelope: Envelope) => {
-    setImmediate(() => logs.get(hostOf(envelope))?.receive([envelope]));
+    setImmediate(() => logs.get(destinationHostOf(envelope))?.receive([envelope]));
   };
   for (const name of names) {
     const log = new ReplicatedLog<number>({
--- a/bench/decide.ts
+++ b/bench/decide.ts
@@ -1,5 +1,9 @@
 import { SeededRandom, SystemClock, createSilentLogger } from '../src/core';
-import { ALL_DECISIONS, type Placer, createPlacers } from '../src/decisions';
+import {
+  DEFAULT_DECISION_SWITCHES,
+  type PlacementPolicy,
+  createPlacementPolicies,
+} from '../src/decisions';
 import { type PlacementRequest, TargetChooser, TargetDirectory } from '../src/targets';
 
 /** Decisions of each kind that are timed. */
@@ -36,7 +40,7 @@
   }
 }
 
-const PLACERS = createPlacers(ALL_DECISIONS);
+const PLACERS = createPlacementPolicies(DEFAULT_DECISION_SWITCHES);
 
 /** A service of many engines, and what fills them as if they had worked for a while. */
 function createService(count: number) {
@@ -48,12 +52,12 @@
   });
   const chooser = new TargetChooser({ ...parts, targets, availabilityZone: 'a' });
   const fill = () => {
-    targets.take(Array.from({ length: count }, (_, index) => listed(index)));
+    targets.update(Array.from({ length: count }, (_, index) => listed(index)));
     for (const state of targets.all()) {
       state.inFlight = Number(state.target.id.slice(1)) % 5;
       for (let part = 0; part < PARTS_HELD; part += 1) {
         const id = `p${state.target.id}-${part}`;
-        chooser.noteParts(state, [{ id, tokens: 500 }], 70, Infinity);
+        chooser.recordParts(state, [{ id, tokens: 500 }], 70, Infinity);
       }
     }
   };
@@ -77,15 +81,15 @@
     { id: 'shared', tokens: 512 },
     { id: `pt${Math.floor(random.fraction() * 10)}-7`, tokens: 900 },
   ];
-  return { parts, promptTokens: 1412, lastTarget: undefined, heldTokens: 0 };
+  return { parts, promptTokens: 1412, lastTarget: undefined, cachedTokens: 0 };
 }
 
-function time(chooser: TargetChooser, placer: Placer): DecisionTimes {
+function time(chooser: TargetChooser, placer: PlacementPolicy): DecisionTimes {
   const random = new SeededRandom(1);
   const decide = () =>
     chooser.choose({
       service: 's',
-      placer,
+      policy: placer,
       placement: requestAt(random),
       tried: new Set(),
       connectionLimit: 100,
--- a/bench/worst/fleet.ts
+++ b/bench/worst/fleet.ts
@@ -2,7 +2,7 @@
 import {
   type DecisionSwitches,
   type Refusal,
-  createPlacers,
+  createPlacementPolicies,
   refuseInOverload,
 } from '../../src/decisions';
 import {
@@ -63,7 +63,7 @@
   constructor(options: FleetOptions) {
     this.#options = options;
     this.#random = new SeededRandom(options.seed);
-    this.#placers = createPlacers(options.switches);
+    this.#placers = createPlacementPolicies(options.switches);
     for (let index = 0; index < options.engines; index += 1) {
       this.engines.set(`e${index}`, new SimulatedEngine(options.facts, options.calendar));
     }
@@ -76,7 +76,7 @@
   /** Takes engines off the list of all gateways; what they have under way ends. */
   remove(isGone: (index: number) => boolean): void {
     for (const { targets } of this.#gateways) {
-      targets.take(this.#list().filter((_, index) => !isGone(index)));
+      targets.update(this.#list().filter((_, index) => !isGone(index)));
     }
   }
 
@@ -94,8 +94,8 @@
     const promptTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
     const placed = gateway.chooser.choose({
       service: SERVICE,
-      placer: this.#placers.engine,
-      placement: { parts, promptTokens, lastTarget, heldTokens },
+      policy: this.#placers.engine,
+      placement: { parts, promptTokens, lastTarget, cachedTokens: heldTokens },
       tried: new Set(),
       connectionLimit: Infinity,
     });
@@ -106,7 +106,7 @@
     const way = isNear ? WAY_MILLISECONDS.near : WAY_MILLISECONDS.far;
     const end = () => {
       state.inFlight -= 1;
-      gateway.chooser.noteParts(state, parts, outputTokens, this.#options.facts.memoryTokens);
+      gateway.chooser.recordParts(state, parts, outputTokens, this.#options.facts.memoryTokens);
       turn.onEnd(state.target.id);
     };
     calendar.after(way / 2, () => {
@@ -129,7 +129,7 @@
       logger: createSilentLogger(),
       source: { list: () => Promise.resolve([]) },
     });
-    targets.take(this.#list());
+    targets.update(this.#list());
     const availabilityZone = zoneAt(index);
     const chooser = new TargetChooser({ ...parts, targets, availabilityZone });
     return { targets, chooser, availabilityZone };
@@ -154,9 +154,9 @@
     }
     for (const gateway of this.#gateways) {
       for (const state of statesOf(gateway)) {
-        state.inFlightElsewhere = (totals.get(state.target.id) ?? 0) - state.inFlight;
+        state.inFlightFromOthers = (totals.get(state.target.id) ?? 0) - state.inFlight;
       }
-      gateway.targets.noteLoads();
+      gateway.targets.markLoadsUpdated();
     }
     calendar.after(loadPause, () => {
       this.#tellLoads();
--- a/bench/worst/run.ts
+++ b/bench/worst/run.ts
@@ -1,4 +1,4 @@
-import { ALL_DECISIONS, type DecisionSwitches } from '../../src/decisions';
+import { DEFAULT_DECISION_SWITCHES, type DecisionSwitches } from '../../src/decisions';
 import { Calendar } from './calendar';
 import { Fleet } from './fleet';
 import { WORST_LOADS, type WorstLoad } from './loads';
@@ -28,7 +28,7 @@
 const OLD_LOAD_PAUSE = 250;
 
 function policy(name: string, switches: Partial<DecisionSwitches> = {}): Policy {
-  return { name, switches: { ...ALL_DECISIONS, ...switches }, loadPause: LOAD_PAUSE };
+  return { name, switches: { ...DEFAULT_DECISION_SWITCHES, ...switches }, loadPause: LOAD_PAUSE };
 }
 
 /** Nothing is refused, so that a comparison shows what the placement alone does. */
--- a/src/cluster/founding.ts
+++ b/src/cluster/bootstrap.ts
@@ -1,5 +1,5 @@
 import { type Clock, type Logger, messageOf } from '../core';
-import type { Caller } from '../link';
+import type { RpcClient } from '../rpc';
 import type { ClusterContract } from './contract';
 
 const RESPONSE_TIMEOUT_MILLISECONDS = 1000;
@@ -11,7 +11,7 @@
   /** Whether this is the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly seeds: () => readonly string[];
-  readonly peers: Caller<ClusterContract>;
+  readonly peers: RpcClient<ClusterContract>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -20,7 +20,7 @@
  * Selects the host that bootstraps the cluster state. At the first start all hosts have the same
  * seeds; the first seed in sorted order grants permission to the first host that requests it.
  */
-export class Founding {
+export class ClusterBootstrap {
   readonly #options: ClusterBootstrapOptions;
   #grantee: string | undefined;
   #granted = false;
--- a/src/cluster/client.ts
+++ b/src/cluster/client.ts
@@ -1,5 +1,5 @@
 import { type Clock, type Logger, delay, messageOf } from '../core';
-import { type CallName, type Caller, RpcError } from '../link';
+import { type CallName, type RpcClient, RpcError } from '../rpc';
 import type { QuotaGrants, QuotaReport } from '../quotas';
 import type {
   ClusterContract,
@@ -9,9 +9,9 @@
   VersionedConfiguration,
 } from './contract';
 import type { NodeDirectory } from './directory';
-import { ClusterUnavailable } from './errors';
-import type { Greeter } from './greeter';
-import type { ClusterCommand, CommandOutcome } from './machine';
+import { ClusterUnavailableError } from './errors';
+import type { HeartbeatSender } from './heartbeat-sender';
+import type { ClusterCommand, CommandOutcome } from './state-machine';
 
 /**
  * Total time for one call; below the 1 s after which an operator's client tries another process.
@@ -37,12 +37,12 @@
 export interface ClusterClientOptions {
   readonly selfAddress: string;
   readonly directory: NodeDirectory;
-  readonly greeter: Greeter;
-  readonly peers: Caller<ClusterContract>;
+  readonly heartbeatSender: HeartbeatSender;
+  readonly peers: RpcClient<ClusterContract>;
   readonly clock: Clock;
   readonly logger: Logger;
   /** Calls on this process's own replica; undefined without one. */
-  readonly local: LocalLeaderCalls | undefined;
+  readonly localLeaderCalls: LocalLeaderCalls | undefined;
 }
 
 /** Reads and changes the cluster state from any process by calling the current leader. */
@@ -73,7 +73,7 @@
   }
 
   /** Requests shares of team quotas; rejects with {@link ClusterUnavailableError}. */
-  takeQuotas(report: QuotaReport): Promise<QuotaGrants> {
+  requestQuotas(report: QuotaReport): Promise<QuotaGrants> {
     return this.#call('cluster.quotas', report);
   }
 
@@ -81,7 +81,7 @@
     name: Name & CallName<ClusterContract>,
     request: Calls[Name]['request'],
   ): Promise<Value> {
-    const { clock, greeter: heartbeatSender } = this.#options;
+    const { clock, heartbeatSender } = this.#options;
     const deadline = clock.monotonic() + CALL_TIMEOUT_MILLISECONDS;
     let reason = 'no leader of the cluster state is known';
     let hint: LeaderHint | undefined;
@@ -102,7 +102,7 @@
       }
       await delay(clock, RETRY_DELAY_MILLISECONDS);
     }
-    throw new ClusterUnavailable(reason);
+    throw new ClusterUnavailableError(reason);
   }
 
   async #callOnce<Name extends LeaderCallName, Value>(
@@ -110,7 +110,7 @@
     name: Name,
     request: Calls[Name]['request'],
   ): Promise<LeaderAnswer<Value>> {
-    const { selfAddress, peers, local: localLeaderCalls, logger } = this.#options;
+    const { selfAddress, peers, localLeaderCalls, logger } = this.#options;
     if (address === undefined) return { kind: 'not-leader', leader: undefined };
     try {
       const answer =
@@ -131,7 +131,7 @@
   }
 
   #nextReplica(attempt: number): string | undefined {
-    const { directory, local: localLeaderCalls, selfAddress } = this.#options;
+    const { directory, localLeaderCalls, selfAddress } = this.#options;
     const replicas = directory.all().filter(({ node }) => node.keepsClusterState);
     const addresses = replicas.map(({ node }) => node.address);
     if (localLeaderCalls !== undefined) addresses.unshift(selfAddress);
--- a/src/cluster/contract.ts
+++ b/src/cluster/contract.ts
@@ -1,7 +1,7 @@
 import type { QuotaGrants, QuotaReport } from '../quotas';
 import type { Envelope } from '../replication';
 import type { NodeInfo, NodeStatus } from './node';
-import type { ClusterCommand, CommandOutcome } from './machine';
+import type { ClusterCommand, CommandOutcome } from './state-machine';
 import type { RetirementState, StoreView } from './view';
 
 /** The leader of the cluster state as last known to a process; it may be outdated. */
--- a/src/cluster/directory.ts
+++ b/src/cluster/directory.ts
@@ -16,7 +16,7 @@
 
   recordHeartbeat(node: NodeInfo, status: NodeStatus): void {
     const heardAt = this.#clock.monotonic();
-    this.#set({ node, status, heardAt });
+    this.#set({ node, status, lastSeenAt: heardAt });
   }
 
   /**
@@ -24,14 +24,14 @@
    * report names another run and the last heartbeat is older than
    * {@link HEARTBEAT_PRECEDENCE_MILLISECONDS}.
    */
-  learn(node: NodeInfo): void {
+  recordReport(node: NodeInfo): void {
     const known = this.#nodes.get(node.name);
     const now = this.#clock.monotonic();
-    if (known === undefined) this.#set({ node, status: undefined, heardAt: now });
-    else if (known.status === undefined) this.#set({ ...known, node, heardAt: now });
+    if (known === undefined) this.#set({ node, status: undefined, lastSeenAt: now });
+    else if (known.status === undefined) this.#set({ ...known, node, lastSeenAt: now });
     else if (known.node.run === node.run) return;
-    else if (now - known.heardAt > HEARTBEAT_PRECEDENCE_MILLISECONDS) {
-      this.#set({ node, status: undefined, heardAt: now });
+    else if (now - known.lastSeenAt > HEARTBEAT_PRECEDENCE_MILLISECONDS) {
+      this.#set({ node, status: undefined, lastSeenAt: now });
     }
   }
 
@@ -42,7 +42,7 @@
   /** Removes expired nodes and returns the others. */
   all(): readonly KnownNode[] {
     const since = this.#clock.monotonic() - EXPIRY_MILLISECONDS;
-    for (const [name, { heardAt }] of this.#nodes) {
+    for (const [name, { lastSeenAt: heardAt }] of this.#nodes) {
       if (heardAt >= since) continue;
       this.#nodes.delete(name);
       this.#digest = undefined;
@@ -62,7 +62,7 @@
   /** Nodes that sent this process a heartbeat within the last `milliseconds`. */
   withHeartbeatWithin(milliseconds: number): readonly KnownNode[] {
     const since = this.#clock.monotonic() - milliseconds;
-    return this.all().filter((known) => known.status !== undefined && known.heardAt >= since);
+    return this.all().filter((known) => known.status !== undefined && known.lastSeenAt >= since);
   }
 
   /**
--- a/src/cluster/greeter.ts
+++ b/src/cluster/heartbeat-sender.ts
@@ -1,6 +1,6 @@
 import { type Clock, type Component, type Logger, PeriodicTask, messageOf } from '../core';
-import type { Caller } from '../link';
-import type { Confirmation } from './confirmation';
+import type { RpcClient } from '../rpc';
+import type { LeaderConfirmation } from './leader-confirmation';
 import type {
   ClusterContract,
   HeartbeatResponse,
@@ -8,7 +8,7 @@
   VersionedConfiguration,
 } from './contract';
 import type { NodeDirectory } from './directory';
-import type { Newest } from './newest';
+import type { LatestValue } from './latest-value';
 import type { NodeInfo, NodeStatus } from './node';
 import type { StoreView } from './view';
 
@@ -41,29 +41,29 @@
 /** Time for which a leader reported by another process is used. */
 const LEADER_HINT_LIFETIME_MILLISECONDS = 3000;
 
-export interface GreeterOptions {
+export interface HeartbeatSenderOptions {
   readonly self: NodeInfo;
   readonly status: () => NodeStatus;
   /** Addresses (IP:port) of the processes listed in the settings. */
   readonly seeds: () => readonly string[];
   readonly directory: NodeDirectory;
-  readonly peers: Caller<ClusterContract>;
+  readonly peers: RpcClient<ClusterContract>;
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly configuration: Newest<VersionedConfiguration>;
-  readonly view: Newest<StoreView>;
+  readonly configuration: LatestValue<VersionedConfiguration>;
+  readonly view: LatestValue<StoreView>;
   /** Notified when the leader confirms that this process has the newest configuration. */
-  readonly confirmation?: Confirmation | undefined;
+  readonly confirmation?: LeaderConfirmation | undefined;
   /** Whether this process leads the cluster state and therefore confirms itself. */
-  readonly leads?: () => boolean;
+  readonly isLeader?: () => boolean;
 }
 
 /**
  * Sends heartbeats to the seeds and to the replicas of the cluster state. From the responses it
  * learns of other nodes and of the leader, and fetches a newer configuration or view.
  */
-export class Greeter implements Component {
-  readonly #options: GreeterOptions;
+export class HeartbeatSender implements Component {
+  readonly #options: HeartbeatSenderOptions;
   readonly #task: PeriodicTask;
   #lastSentAt = -Infinity;
   #leader: LeaderHint | undefined;
@@ -71,10 +71,10 @@
   /** Rounds sent so far; selects the next recipients in the rotation. */
   #round = 0;
 
-  constructor(options: GreeterOptions) {
+  constructor(options: HeartbeatSenderOptions) {
     this.#options = options;
     this.#task = new PeriodicTask(options.clock, STARTUP_INTERVAL_MILLISECONDS, () => {
-      options.confirmation?.noteRunning();
+      options.confirmation?.recordActivity();
       this.#confirmAsLeader();
       if (this.#isDue()) this.#sendRound();
     });
@@ -104,14 +104,14 @@
   }
 
   #confirmAsLeader(): void {
-    const { clock, confirmation, leads: isLeader } = this.#options;
+    const { clock, confirmation, isLeader } = this.#options;
     if (isLeader?.() === true) confirmation?.confirm(clock.monotonic());
   }
 
   /** Whether this process has no configuration or no view yet. */
   get #isStarting(): boolean {
     const { configuration, view } = this.#options;
-    return configuration.number === 0 || view.number === 0;
+    return configuration.version === 0 || view.version === 0;
   }
 
   /** Whether no leader is known or the leader has not confirmed recently, as during an election. */
@@ -189,13 +189,13 @@
 
   #applyResponse(address: string, response: HeartbeatResponse, requestedAt: number): void {
     const { directory, configuration, view, confirmation } = this.#options;
-    directory.learn(response.node);
-    for (const node of response.nodes ?? []) directory.learn(node);
+    directory.recordReport(response.node);
+    for (const node of response.nodes ?? []) directory.recordReport(node);
     this.recordLeaderHint(response.leader);
-    if (response.configurationVersion > configuration.number) {
+    if (response.configurationVersion > configuration.version) {
       void this.#fetchConfiguration(address, response, requestedAt);
     } else if (response.confirms === true) confirmation?.confirm(requestedAt);
-    if (response.viewEpoch > view.number) void this.#fetchView(address);
+    if (response.viewEpoch > view.version) void this.#fetchView(address);
   }
 
   async #fetchConfiguration(
@@ -212,7 +212,7 @@
         RESPONSE_TIMEOUT_MILLISECONDS,
       );
       if (newer !== undefined) configuration.offer(newer);
-      const isUpToDate = configuration.number >= configurationVersion;
+      const isUpToDate = configuration.version >= configurationVersion;
       if (confirms === true && isUpToDate) confirmation?.confirm(requestedAt);
     } catch (error) {
       logger.warn({ event: 'configuration-not-read', peer: address, error: messageOf(error) });
--- a/src/cluster/confirmation.ts
+++ b/src/cluster/leader-confirmation.ts
@@ -21,7 +21,7 @@
  * confirmation covers changes acknowledged before the request was sent, not before the response
  * arrived.
  */
-export class Confirmation {
+export class LeaderConfirmation {
   readonly #clock: Clock;
   readonly #waiters = new Set<Waiter>();
   /** Time at which the last confirmed request was sent; monotonic milliseconds. */
@@ -42,7 +42,7 @@
   }
 
   /** Detects pauses of the process; must be called several times per second. */
-  noteRunning(): void {
+  recordActivity(): void {
     const now = this.#clock.monotonic();
     if (now - this.#lastActiveAt > PAUSE_THRESHOLD_MILLISECONDS) this.#resumedAt = now;
     this.#lastActiveAt = now;
@@ -52,7 +52,7 @@
    * Whether this process started or resumed so recently that a missing confirmation does not
    * indicate an unreachable leader.
    */
-  get isDue(): boolean {
+  get isInGracePeriod(): boolean {
     const now = this.#clock.monotonic();
     if (now - this.#lastActiveAt > PAUSE_THRESHOLD_MILLISECONDS) return true;
     if (this.#confirmedAt === -Infinity) return now - this.#startedAt <= START_GRACE_MILLISECONDS;
@@ -75,7 +75,7 @@
   /**
    * Resolves with whether a request sent at `since` or later is confirmed within `milliseconds`.
    */
-  confirmedSince(since: number, milliseconds: number): Promise<boolean> {
+  waitForConfirmation(since: number, milliseconds: number): Promise<boolean> {
     if (this.isConfirmedSince(since)) return Promise.resolve(true);
     return new Promise((resolve) => {
       const cancel = this.#clock.after(milliseconds, () => {
@@ -86,7 +86,7 @@
     });
   }
 
-  get waiting(): number {
+  get waiterCount(): number {
     return this.#waiters.size;
   }
 
--- a/src/cluster/node.ts
+++ b/src/cluster/node.ts
@@ -29,5 +29,5 @@
   /** Status in its last heartbeat; undefined if it is known only from the reports of others. */
   readonly status: NodeStatus | undefined;
   /** Monotonic time of its last heartbeat, or of the last report if none came; milliseconds. */
-  readonly heardAt: number;
+  readonly lastSeenAt: number;
 }
--- a/src/cluster/member.ts
+++ b/src/cluster/replica.ts
@@ -6,15 +6,21 @@
   type RandomSource,
   messageOf,
 } from '../core';
-import type { Caller } from '../link';
+import type { RpcClient } from '../rpc';
 import type { Leadership } from '../quotas';
-import { type Envelope, ReplicatedLog, allMembers, hostOf, nameOf } from '../replication';
+import {
+  type Envelope,
+  ReplicatedLog,
+  allMembers,
+  destinationHostOf,
+  hostNameOf,
+} from '../replication';
 import type { RecordStore } from '../storage';
 import type { ClusterContract, LeaderAnswer, LeaderHint, VersionedConfiguration } from './contract';
 import type { NodeDirectory } from './directory';
-import type { Founding } from './founding';
-import { type ClusterCommand, ClusterStateMachine, type CommandOutcome } from './machine';
-import type { Newest } from './newest';
+import type { ClusterBootstrap } from './bootstrap';
+import { type ClusterCommand, ClusterStateMachine, type CommandOutcome } from './state-machine';
+import type { LatestValue } from './latest-value';
 import type { NodeInfo } from './node';
 import { type StoreView, viewSizeFor } from './view';
 
@@ -35,19 +41,19 @@
   /** Simultaneous disk losses that the state must survive. */
   readonly toleratedLosses: number;
   readonly directory: NodeDirectory;
-  readonly founding: Founding;
-  readonly peers: Caller<ClusterContract>;
+  readonly bootstrap: ClusterBootstrap;
+  readonly peers: RpcClient<ClusterContract>;
   /** Opens the stored log; called again after a failed write. */
   readonly openStore: () => RecordStore;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
-  readonly configuration: Newest<VersionedConfiguration>;
-  readonly view: Newest<StoreView>;
+  readonly configuration: LatestValue<VersionedConfiguration>;
+  readonly view: LatestValue<StoreView>;
 }
 
 /** This host's replica of the cluster state. */
-export class ClusterMember implements Component {
+export class ClusterReplica implements Component {
   readonly #options: ClusterReplicaOptions;
   readonly stateMachine: ClusterStateMachine;
   #log: ReplicatedLog<CommandOutcome>;
@@ -73,8 +79,8 @@
   }
 
   /** Transfers leadership to another replica before a planned stop. */
-  handOver(): Promise<void> {
-    return this.#log.handOver();
+  transferLeadership(): Promise<void> {
+    return this.#log.transferLeadership();
   }
 
   receive(envelopes: readonly Envelope[]): void {
@@ -100,7 +106,7 @@
   get leader(): LeaderHint | undefined {
     const { leader, term } = this.#log;
     if (leader === undefined) return undefined;
-    const name = nameOf(leader);
+    const name = hostNameOf(leader);
     const { self, directory } = this.#options;
     const address = name === self.name ? self.address : directory.get(name)?.node.address;
     return address === undefined ? undefined : { name, address, term };
@@ -181,7 +187,7 @@
   }
 
   #send(envelope: Envelope): void {
-    const address = this.#options.directory.get(hostOf(envelope))?.node.address;
+    const address = this.#options.directory.get(destinationHostOf(envelope))?.node.address;
     if (address !== undefined) this.#options.peers.cast(address, 'cluster.replicate', [envelope]);
   }
 
@@ -190,13 +196,13 @@
    * unresponsive members while too few others exist. The bootstrapping host lists only itself.
    */
   #desiredHosts(): readonly string[] {
-    const { self, directory, founding: bootstrap, toleratedLosses } = this.#options;
+    const { self, directory, bootstrap, toleratedLosses } = this.#options;
     if (bootstrap.isGranted && this.#log.term === 0) return [self.name];
     const replicas = directory.all().filter(({ node }) => node.keepsClusterState);
     if (this.#log.role !== 'leader') {
       return replicas.map(({ node }) => node.name).filter((name) => name !== self.name);
     }
-    const members = allMembers(this.#log.membership).map(nameOf);
+    const members = allMembers(this.#log.membership).map(hostNameOf);
     const responsive = directory
       .withHeartbeatWithin(FAILURE_TIMEOUT_MILLISECONDS)
       .filter(({ node }) => node.keepsClusterState)
--- a/src/cluster/service.ts
+++ b/src/cluster/service.ts
@@ -1,6 +1,6 @@
 import { type Component, type Logger, PeriodicTask, type Clock } from '../core';
 import type { QuotaAllocator } from '../quotas';
-import type { CallHandlers, Caller, CastHandlers } from '../link';
+import type { CallHandlers, RpcClient, CastHandlers } from '../rpc';
 import type { LocalLeaderCalls } from './client';
 import type {
   ClusterContract,
@@ -9,35 +9,35 @@
   VersionedConfiguration,
 } from './contract';
 import type { NodeDirectory } from './directory';
-import type { Founding } from './founding';
-import type { Greeter } from './greeter';
-import type { ClusterMember } from './member';
-import type { Newest } from './newest';
+import type { ClusterBootstrap } from './bootstrap';
+import type { HeartbeatSender } from './heartbeat-sender';
+import type { ClusterReplica } from './replica';
+import type { LatestValue } from './latest-value';
 import type { NodeInfo, NodeStatus } from './node';
 import type { StoreView } from './view';
-import type { ViewKeeper } from './view-keeper';
+import type { ViewController } from './view-controller';
 
 /** Interval between requests for permission to bootstrap the cluster state. */
 const BOOTSTRAP_RETRY_MILLISECONDS = 200;
 
 /** Components that exist only on a host with a replica of the cluster state. */
-export interface KeeperParts {
-  readonly member: ClusterMember;
-  readonly viewKeeper: ViewKeeper;
+export interface ReplicaComponents {
+  readonly replica: ClusterReplica;
+  readonly viewController: ViewController;
 }
 
 export interface ClusterServiceOptions {
   readonly self: NodeInfo;
   readonly status: () => NodeStatus;
   readonly directory: NodeDirectory;
-  readonly greeter: Greeter;
-  readonly founding: Founding;
-  readonly peers: Caller<ClusterContract>;
+  readonly heartbeatSender: HeartbeatSender;
+  readonly bootstrap: ClusterBootstrap;
+  readonly peers: RpcClient<ClusterContract>;
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly configuration: Newest<VersionedConfiguration>;
-  readonly view: Newest<StoreView>;
-  readonly keeper: KeeperParts | undefined;
+  readonly configuration: LatestValue<VersionedConfiguration>;
+  readonly view: LatestValue<StoreView>;
+  readonly replicaComponents: ReplicaComponents | undefined;
   /** Allocates team quotas while this process leads; absent where it never leads. */
   readonly quotas?: QuotaAllocator | undefined;
 }
@@ -49,22 +49,22 @@
 
   constructor(options: ClusterServiceOptions) {
     this.#options = options;
-    const { configuration, view, clock, logger, keeper: replicaComponents } = options;
+    const { configuration, view, clock, logger, replicaComponents } = options;
     this.#bootstrapTask = new PeriodicTask(clock, BOOTSTRAP_RETRY_MILLISECONDS, () =>
       this.#requestBootstrap(),
     );
     configuration.onChange((value) => {
       logger.info({ event: 'configuration-in-force', version: value.version });
-      if (replicaComponents?.member.serves === true) this.#broadcast('cluster.configured', value);
+      if (replicaComponents?.replica.serves === true) this.#broadcast('cluster.configured', value);
     });
     view.onChange((value) => {
       logger.info({ event: 'stores-in-use', ...value });
-      if (replicaComponents?.member.serves === true) this.#broadcast('cluster.viewed', value);
+      if (replicaComponents?.replica.serves === true) this.#broadcast('cluster.viewed', value);
     });
   }
 
   start(): void {
-    if (this.#options.keeper !== undefined) this.#bootstrapTask.start();
+    if (this.#options.replicaComponents !== undefined) this.#bootstrapTask.start();
   }
 
   stop(): void {
@@ -72,10 +72,10 @@
   }
 
   /** Leader calls on this process's own replica; undefined without a replica. */
-  get local(): LocalLeaderCalls | undefined {
-    const { keeper: replicaComponents, quotas } = this.#options;
+  get localLeaderCalls(): LocalLeaderCalls | undefined {
+    const { replicaComponents, quotas } = this.#options;
     if (replicaComponents === undefined) return undefined;
-    const { member: replica, viewKeeper: viewController } = replicaComponents;
+    const { replica, viewController } = replicaComponents;
     return {
       'cluster.propose': (command) => replica.propose(command),
       'cluster.read': () => replica.read(() => replica.stateMachine.configuration),
@@ -90,20 +90,20 @@
   }
 
   get calls(): CallHandlers<ClusterContract> {
-    const { founding: bootstrap, configuration, view } = this.#options;
+    const { bootstrap, configuration, view } = this.#options;
     return {
       'cluster.greet': (heartbeat) => this.#answerHeartbeat(heartbeat),
       'cluster.found': (host) => bootstrap.grant(host),
       'cluster.configuration': () => configuration.value,
       'cluster.view': () => view.value,
-      ...this.local,
+      ...this.localLeaderCalls,
     };
   }
 
   get casts(): CastHandlers<ClusterContract> {
-    const { configuration, view, keeper: replicaComponents } = this.#options;
+    const { configuration, view, replicaComponents } = this.#options;
     return {
-      'cluster.replicate': (envelopes) => replicaComponents?.member.receive(envelopes),
+      'cluster.replicate': (envelopes) => replicaComponents?.replica.receive(envelopes),
       'cluster.configured': (value) => {
         configuration.offer(value);
       },
@@ -114,24 +114,18 @@
   }
 
   #answerHeartbeat({ node, status, nodesDigest }: HeartbeatRequest): HeartbeatResponse {
-    const {
-      self,
-      directory,
-      greeter: heartbeatSender,
-      configuration,
-      view,
-      keeper: replicaComponents,
-    } = this.#options;
+    const { self, directory, heartbeatSender, configuration, view, replicaComponents } =
+      this.#options;
     directory.recordHeartbeat(node, status);
     const { digest } = directory;
     const nodes = directory.all().map((known) => known.node);
     return {
       node: self,
       nodes: digest === nodesDigest ? undefined : nodes,
-      leader: replicaComponents?.member.leader ?? heartbeatSender.leader,
-      configurationVersion: configuration.number,
-      viewEpoch: view.number,
-      confirms: replicaComponents?.member.serves ?? false,
+      leader: replicaComponents?.replica.leader ?? heartbeatSender.leader,
+      configurationVersion: configuration.version,
+      viewEpoch: view.version,
+      confirms: replicaComponents?.replica.serves ?? false,
     };
   }
 
@@ -154,13 +148,9 @@
   }
 
   async #requestBootstrap(): Promise<void> {
-    const {
-      keeper: replicaComponents,
-      founding: bootstrap,
-      greeter: heartbeatSender,
-    } = this.#options;
-    const leader = replicaComponents?.member.leader ?? heartbeatSender.leader;
-    if (leader === undefined && replicaComponents?.member.isNew === true)
+    const { replicaComponents, bootstrap, heartbeatSender } = this.#options;
+    const leader = replicaComponents?.replica.leader ?? heartbeatSender.leader;
+    if (leader === undefined && replicaComponents?.replica.isNew === true)
       await bootstrap.requestGrant();
   }
 }
--- a/src/cluster/known-state.ts
+++ b/src/cluster/state-cache.ts
@@ -2,7 +2,7 @@
 import { type Component, type Logger, messageOf } from '../core';
 import type { RecordStore } from '../storage';
 import type { VersionedConfiguration } from './contract';
-import type { Newest } from './newest';
+import type { LatestValue } from './latest-value';
 import { type StoreView, storeViewSchema } from './view';
 
 /** Characters of stored records above which the store is compacted to the newest of each kind. */
@@ -17,8 +17,8 @@
 
 export interface ClusterStateCacheOptions {
   readonly store: RecordStore;
-  readonly configuration: Newest<VersionedConfiguration>;
-  readonly view: Newest<StoreView>;
+  readonly configuration: LatestValue<VersionedConfiguration>;
+  readonly view: LatestValue<StoreView>;
   readonly logger: Logger;
 }
 
@@ -27,7 +27,7 @@
  * so after a restart callers can be served before a leader is elected; newer versions replace them.
  * Reads and changes of the cluster state itself still go to the leader.
  */
-export class KnownState implements Component {
+export class ClusterStateCache implements Component {
   readonly #options: ClusterStateCacheOptions;
   #characters = 0;
 
@@ -60,7 +60,7 @@
       if ('view' in record) view.offer(record.view);
       else configuration.offer(record.configuration);
     }
-    const versions = { configuration: configuration.number, epoch: view.number };
+    const versions = { configuration: configuration.version, epoch: view.version };
     logger.info({ event: 'known-state-read', ...versions });
   }
 
--- a/src/cluster/tests/greeter.test.ts
+++ b/src/cluster/tests/heartbeat-sender.test.ts
@@ -1,10 +1,10 @@
 import { createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import type { Caller } from '../../link';
+import type { RpcClient } from '../../rpc';
 import {
   type ClusterContract,
-  Greeter,
-  Newest,
+  HeartbeatSender,
+  LatestValue,
   NodeDirectory,
   type NodeInfo,
   type StoreView,
@@ -32,8 +32,8 @@
  */
 async function sendHeartbeatsFor(seconds: number, hasLeader: boolean) {
   const clock = new ManualClock();
-  const configuration = new Newest<VersionedConfiguration>(({ version }) => version);
-  const view = new Newest<StoreView>(({ epoch }) => epoch);
+  const configuration = new LatestValue<VersionedConfiguration>(({ version }) => version);
+  const view = new LatestValue<StoreView>(({ epoch }) => epoch);
   configuration.offer({ version: 1, text: '' });
   view.offer({ epoch: 1, members: [], quorum: 0 });
   const replicas = Array.from({ length: REPLICA_COUNT }, (_, index) => replica(index));
@@ -56,8 +56,8 @@
     },
     cast: () => undefined,
     isConnected: () => true,
-  } as unknown as Caller<ClusterContract>;
-  const sender = new Greeter({
+  } as unknown as RpcClient<ClusterContract>;
+  const sender = new HeartbeatSender({
     self: { ...replica(9), keepsClusterState: false },
     status: () => ({ configurationVersion: 1, viewEpoch: 1, completeFor: 0 }),
     seeds: () => replicas.slice(0, 3).map(({ address }) => address),
--- a/src/cluster/tests/confirmation.test.ts
+++ b/src/cluster/tests/leader-confirmation.test.ts
@@ -1,11 +1,11 @@
 import { createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import type { Caller } from '../../link';
+import type { RpcClient } from '../../rpc';
 import {
   type ClusterContract,
-  Confirmation,
-  Greeter,
-  Newest,
+  LeaderConfirmation,
+  HeartbeatSender,
+  LatestValue,
   NodeDirectory,
   type NodeInfo,
   type StoreView,
@@ -18,7 +18,7 @@
 
 describe('LeaderConfirmation', () => {
   const clock = new ManualClock();
-  const confirmation = new Confirmation(clock);
+  const confirmation = new LeaderConfirmation(clock);
 
   it('measures the age from the time of the request, not of the response', () => {
     expect(confirmation.ageMilliseconds).toBe(Infinity);
@@ -37,16 +37,16 @@
   describe('a wait for a confirmation', () => {
     it('resolves with true only for a request sent at or after the given time', async () => {
       const since = clock.monotonic();
-      const waited = confirmation.confirmedSince(since, 500);
+      const waited = confirmation.waitForConfirmation(since, 500);
       confirmation.confirm(since - 1);
-      expect(confirmation.waiting).toBe(1);
+      expect(confirmation.waiterCount).toBe(1);
       confirmation.confirm(since);
       expect(await waited).toBe(true);
-      expect(confirmation.waiting).toBe(0);
+      expect(confirmation.waiterCount).toBe(0);
     });
 
     it('resolves with false at the timeout', async () => {
-      const waited = confirmation.confirmedSince(clock.monotonic() + 1, 500);
+      const waited = confirmation.waitForConfirmation(clock.monotonic() + 1, 500);
       clock.advance(500);
       expect(await waited).toBe(false);
     });
@@ -71,8 +71,8 @@
    */
   function sendHeartbeat(version: number, confirms: boolean | undefined, fetched = version) {
     const clock = new ManualClock();
-    const confirmation = new Confirmation(clock);
-    const configuration = new Newest<VersionedConfiguration>((value) => value.version);
+    const confirmation = new LeaderConfirmation(clock);
+    const configuration = new LatestValue<VersionedConfiguration>((value) => value.version);
     configuration.offer({ version: 3, text: '' });
     const answers: Readonly<Record<string, unknown>> = {
       'cluster.greet': {
@@ -94,8 +94,8 @@
         }),
       cast: () => undefined,
       isConnected: () => true,
-    } as unknown as Caller<ClusterContract>;
-    const sender = new Greeter({
+    } as unknown as RpcClient<ClusterContract>;
+    const sender = new HeartbeatSender({
       self: SELF,
       status: () => ({ configurationVersion: 3, viewEpoch: 0, completeFor: 0 }),
       seeds: () => [REPLICA.address],
@@ -104,7 +104,7 @@
       clock,
       logger: createSilentLogger(),
       configuration,
-      view: new Newest<StoreView>(({ epoch }) => epoch),
+      view: new LatestValue<StoreView>(({ epoch }) => epoch),
       confirmation,
     });
     sender.start();
--- a/src/cluster/tests/member.test.ts
+++ b/src/cluster/tests/replica.test.ts
@@ -3,9 +3,9 @@
 import { SegmentedStore } from '../../storage';
 import { MemoryDisk } from '../../storage/tests/disk';
 import {
-  ClusterMember,
-  Founding,
-  Newest,
+  ClusterReplica,
+  ClusterBootstrap,
+  LatestValue,
   NodeDirectory,
   type StoreView,
   type VersionedConfiguration,
@@ -19,9 +19,9 @@
 class ReplicaFixture {
   readonly clock = new ManualClock();
   readonly disk = new MemoryDisk();
-  readonly configuration = new Newest<VersionedConfiguration>(({ version }) => version);
-  readonly replica: ClusterMember;
-  readonly #bootstrap: Founding;
+  readonly configuration = new LatestValue<VersionedConfiguration>(({ version }) => version);
+  readonly replica: ClusterReplica;
+  readonly #bootstrap: ClusterBootstrap;
 
   constructor(toleratedLosses: number) {
     const { clock, disk, configuration } = this;
@@ -34,14 +34,14 @@
     const address = '10.0.0.1:7000';
     const seeds = () => [address];
     const dependencies = { peers, clock, logger };
-    this.#bootstrap = new Founding({
+    this.#bootstrap = new ClusterBootstrap({
       ...dependencies,
       self: 'g',
       address,
       isFirstStart: true,
       seeds,
     });
-    this.replica = new ClusterMember({
+    this.replica = new ClusterReplica({
       ...dependencies,
       self: {
         name: 'g',
@@ -54,11 +54,11 @@
       },
       toleratedLosses,
       directory: new NodeDirectory(clock),
-      founding: this.#bootstrap,
+      bootstrap: this.#bootstrap,
       openStore: () => new SegmentedStore({ folder: '/cluster', fileSystem: disk.mount() }),
       random: new SeededRandom(1),
       configuration,
-      view: new Newest<StoreView>(({ epoch }) => epoch),
+      view: new LatestValue<StoreView>(({ epoch }) => epoch),
     });
   }
 
--- a/src/cluster/tests/known-state.test.ts
+++ b/src/cluster/tests/state-cache.test.ts
@@ -1,6 +1,6 @@
 import { createSilentLogger } from '../../core';
 import type { Compaction, RecordStore } from '../../storage';
-import { KnownState, Newest, type StoreView, type VersionedConfiguration } from '..';
+import { ClusterStateCache, LatestValue, type StoreView, type VersionedConfiguration } from '..';
 
 const VIEW: StoreView = { epoch: 3, members: [], quorum: 2 };
 
@@ -30,9 +30,9 @@
 }
 
 async function startProcess(store: RecordStore) {
-  const configuration = new Newest<VersionedConfiguration>(({ version }) => version);
-  const view = new Newest<StoreView>(({ epoch }) => epoch);
-  const cache = new KnownState({ store, configuration, view, logger: createSilentLogger() });
+  const configuration = new LatestValue<VersionedConfiguration>(({ version }) => version);
+  const view = new LatestValue<StoreView>(({ epoch }) => epoch);
+  const cache = new ClusterStateCache({ store, configuration, view, logger: createSilentLogger() });
   await cache.start();
   return { configuration, view };
 }
@@ -64,7 +64,7 @@
     const text = 'x'.repeat(1024 * 1024);
     for (let version = 1; version <= 20; version += 1) configuration.offer({ version, text });
     expect(store.records.length).toBeLessThan(6);
-    expect((await startProcess(store)).configuration.number).toBe(20);
+    expect((await startProcess(store)).configuration.version).toBe(20);
   });
 
   it('does not prevent a configuration change when the disk rejects writes', async () => {
@@ -73,6 +73,6 @@
     const { configuration } = await startProcess(store);
     configuration.offer({ version: 1, text: 'one' });
     await Promise.resolve();
-    expect(configuration.number).toBe(1);
+    expect(configuration.version).toBe(1);
   });
 });
--- a/src/cluster/tests/view-plan.test.ts
+++ b/src/cluster/tests/view-plan.test.ts
@@ -21,7 +21,7 @@
       dataLife,
     },
     status: { configurationVersion: 0, viewEpoch: epoch, completeFor },
-    heardAt: 0,
+    lastSeenAt: 0,
   };
 }
 
@@ -43,7 +43,7 @@
     toleratedLosses: 1,
     stores: ['a', 'b', 'c'].map((name) => store(name)),
     retirements: new Map(),
-    silenceCounts: true,
+    failureDetectionActive: true,
     ...input,
   });
 }
@@ -93,7 +93,9 @@
     });
 
     it('changes nothing while failure detection is inactive', () => {
-      expect(plan({ stores: [...others, store('d')], silenceCounts: false })).toBeUndefined();
+      expect(
+        plan({ stores: [...others, store('d')], failureDetectionActive: false }),
+      ).toBeUndefined();
     });
 
     it('keeps it while fewer than a quorum of the other members are complete', () => {
--- a/src/cluster/view-keeper.ts
+++ b/src/cluster/view-controller.ts
@@ -1,7 +1,7 @@
 import { type Clock, type Component, type Logger, PeriodicTask } from '../core';
 import type { LeaderAnswer, RetirementOutcome } from './contract';
 import type { NodeDirectory } from './directory';
-import type { ClusterMember } from './member';
+import type { ClusterReplica } from './replica';
 import { viewSizeFor } from './view';
 import { type ViewStep, planView } from './view-plan';
 
@@ -14,7 +14,7 @@
 const LEADER_GRACE_MILLISECONDS = 2500;
 
 export interface ViewControllerOptions {
-  readonly member: ClusterMember;
+  readonly replica: ClusterReplica;
   readonly directory: NodeDirectory;
   readonly toleratedLosses: number;
   readonly clock: Clock;
@@ -22,7 +22,7 @@
 }
 
 /** As the leader, reconciles the view with the responsive stores and the requested retirements. */
-export class ViewKeeper implements Component {
+export class ViewController implements Component {
   readonly #options: ViewControllerOptions;
   readonly #task: PeriodicTask;
   #leaderSince: number | undefined;
@@ -44,7 +44,7 @@
 
   /** Starts retiring a store if enough other stores remain. */
   async retire(store: string): Promise<LeaderAnswer<RetirementOutcome>> {
-    const { member: replica, directory, toleratedLosses } = this.#options;
+    const { replica, directory, toleratedLosses } = this.#options;
     const { stateMachine } = replica;
     const answer = replica.read(() => stateMachine.retirements.get(store));
     if (answer.kind !== 'done') return answer;
@@ -61,18 +61,18 @@
   }
 
   retirement(store: string): LeaderAnswer<RetirementOutcome> {
-    const { member: replica } = this.#options;
+    const { replica } = this.#options;
     return replica.read(() => replica.stateMachine.retirements.get(store) ?? 'unknown-store');
   }
 
   #knowsStore(store: string): boolean {
-    const { member: replica, directory } = this.#options;
+    const { replica, directory } = this.#options;
     const isMember = replica.stateMachine.view?.members.some(({ name }) => name === store) ?? false;
     return isMember || directory.get(store)?.node.kind === 'store';
   }
 
   async #reconcile(): Promise<void> {
-    const { member: replica, clock } = this.#options;
+    const { replica, clock } = this.#options;
     if (!replica.serves) {
       this.#leaderSince = undefined;
       return;
@@ -83,7 +83,7 @@
   }
 
   #plan(failureDetectionActive: boolean): ViewStep | undefined {
-    const { member: replica, directory, toleratedLosses } = this.#options;
+    const { replica, directory, toleratedLosses } = this.#options;
     return planView({
       view: replica.stateMachine.view,
       toleratedLosses,
@@ -91,12 +91,12 @@
         .withHeartbeatWithin(FAILURE_TIMEOUT_MILLISECONDS)
         .filter(({ node }) => node.kind === 'store'),
       retirements: replica.stateMachine.retirements,
-      silenceCounts: failureDetectionActive,
+      failureDetectionActive,
     });
   }
 
   async #execute(step: ViewStep): Promise<void> {
-    const { member: replica, logger } = this.#options;
+    const { replica, logger } = this.#options;
     const command =
       step.kind === 'view'
         ? ({ kind: 'view', view: step.view } as const)
--- a/src/cluster/view-plan.ts
+++ b/src/cluster/view-plan.ts
@@ -14,7 +14,7 @@
   readonly stores: readonly KnownNode[];
   readonly retirements: ReadonlyMap<string, RetirementState>;
   /** Whether the leader has led long enough to treat a missing heartbeat as a failure. */
-  readonly silenceCounts: boolean;
+  readonly failureDetectionActive: boolean;
 }
 
 /** A change of the view, or the completion of a retirement. */
@@ -78,7 +78,7 @@
 }
 
 function replaceUnresponsive(input: ViewPlanInput, view: StoreView): ViewStep | undefined {
-  if (!input.silenceCounts) return undefined;
+  if (!input.failureDetectionActive) return undefined;
   const names = input.stores.map(({ node }) => node.name);
   const unresponsive = view.members.find(({ name }) => !names.includes(name));
   if (unresponsive === undefined) return undefined;
--- a/src/control/process.ts
+++ b/src/control/process.ts
@@ -266,7 +266,7 @@
 
   async #handOver(): Promise<void> {
     const logs = [this.#configurationLog, ...this.#groups.map((group) => group.log)];
-    await Promise.all(logs.map((log) => log.handOver()));
+    await Promise.all(logs.map((log) => log.transferLeadership()));
   }
 
   #logOf(group: string): LogView | undefined {
--- a/src/control/status.ts
+++ b/src/control/status.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../core';
 import type { ControlClient, GroupStatus, GroupSummary, Status, TeamStatus } from '../protocol';
-import { type LogView, nameOf } from '../replication';
+import { type LogView, hostNameOf } from '../replication';
 import {
   type ConfigurationStateMachine,
   CONFIGURATION_GROUP,
@@ -60,9 +60,9 @@
     leader: self,
     term: log.term,
     appliedIndex: log.appliedIndex,
-    voters: voters.map(nameOf).sort(),
-    learners: learners.map(nameOf).sort(),
-    silent: log.silentMembers.map(nameOf).sort(),
+    voters: voters.map(hostNameOf).sort(),
+    learners: learners.map(hostNameOf).sort(),
+    silent: log.unresponsiveMembers.map(hostNameOf).sort(),
   };
 }
 
--- a/src/control/transport.ts
+++ b/src/control/transport.ts
@@ -1,6 +1,6 @@
 import { type Clock, type Logger, messageOf, startTimeout } from '../core';
 import type { ControlClient, GroupEnvelopes } from '../protocol';
-import { type Envelope, type ReplicationTransport, hostOf } from '../replication';
+import { type Envelope, type ReplicationTransport, destinationHostOf } from '../replication';
 
 /** Longest wait for a peer's answers; milliseconds. */
 const DELIVERY_MILLISECONDS = 1000;
@@ -56,7 +56,7 @@
   }
 
   #send(queued: Queued): void {
-    const peer = hostOf(queued.envelope);
+    const peer = destinationHostOf(queued.envelope);
     const key = needsNoSync(queued.envelope) ? peer : `${peer} ${queued.group}`;
     const lane = this.#lanes.get(key) ?? { peer, queue: [], sending: false };
     this.#lanes.set(key, lane);
--- a/src/decisions/admission.ts
+++ b/src/decisions/admission.ts
@@ -16,7 +16,7 @@
 const NO_QUORUM_RETRY_SECONDS = 1;
 
 /** Result of reading a value from the stores. */
-export type Learned<Value> =
+export type StoreResult<Value> =
   | { readonly kind: 'known'; readonly value: Value }
   /** Fewer stores than a quorum answered. */
   | { readonly kind: 'unavailable'; readonly reason: string };
@@ -24,9 +24,9 @@
 /** `Chain` holds the earlier turns that the turn continues. */
 export interface AdmissionInput<Chain> {
   /** The value is undefined if the turn to continue does not exist. */
-  readonly chain: Learned<Chain | undefined>;
+  readonly chain: StoreResult<Chain | undefined>;
   /** Whether the turn fits in the remaining budget of its program. */
-  readonly fitsBudget: Learned<boolean>;
+  readonly fitsBudget: StoreResult<boolean>;
   /** Whether this process currently reaches a quorum of the stores. */
   readonly reachesQuorum: boolean;
 }
@@ -36,7 +36,7 @@
   | { readonly kind: 'refused'; readonly refusal: Refusal };
 
 /** Maximum time that a turn waits for the stores before it is refused; milliseconds. */
-export function preparationTime(reachesQuorum: boolean): number {
+export function preparationTimeout(reachesQuorum: boolean): number {
   return reachesQuorum
     ? PREPARATION_TIMEOUT_MILLISECONDS
     : PREPARATION_TIMEOUT_WITHOUT_QUORUM_MILLISECONDS;
--- a/src/decisions/send-budget.ts
+++ b/src/decisions/hedge-budget.ts
@@ -5,7 +5,7 @@
  * Token bucket that limits hedged requests to a share of the calls, so that they don't amplify
  * overload.
  */
-export class SendBudget {
+export class HedgeBudget {
   readonly #hedgesPerCall: number;
   #availableHedges = SAVED_HEDGES_LIMIT;
 
@@ -13,7 +13,7 @@
     this.#hedgesPerCall = hedgesPerCall;
   }
 
-  noteCall(): void {
+  recordCall(): void {
     this.#availableHedges = Math.min(
       this.#availableHedges + this.#hedgesPerCall,
       SAVED_HEDGES_LIMIT,
--- a/src/decisions/index.ts
+++ b/src/decisions/index.ts
@@ -1,46 +1,46 @@
-export { type Admission, type Learned, admitTurn, preparationTime } from './admission';
-export { type Placers, createPlacers } from './baselines';
+export { type Admission, type StoreResult, admitTurn, preparationTimeout } from './admission';
+export { type PlacementPolicies, createPlacementPolicies } from './placement-policies';
 export {
   type KeyCheckInput,
-  type KeyVerdict,
+  type KeyDecision,
   KEYS_UNCONFIRMED,
   NO_KEY,
   UNKNOWN_KEY,
-  judgeKey,
-  mayUseKeys,
-} from './keys';
-export { enginePriority } from './order';
+  checkKey,
+  isConfirmationValid,
+} from './key-check';
+export { enginePriority } from './engine-priority';
 export { type EngineLoad, refuseInOverload } from './overload';
 export {
   EnginePlacementPolicy,
   type PlacementCandidate,
   type PlacementDecision,
   type PlacementInput,
-  type Placer,
+  type PlacementPolicy,
   SlotPlacementPolicy,
 } from './placement';
-export { refuseByQuota } from './quotas';
+export { refuseByQuota } from './quota-refusal';
 export {
   type Refusal,
   type RefusalCode,
-  refuseAsTooLate,
-  refuseAsUnknown,
+  refuseAfterDeadline,
+  refuseUnknownOutcome,
   refuseWithoutTarget,
 } from './refusal';
 export {
-  MISDIRECTED,
-  NO_TRIES,
+  MISDIRECTED_REQUEST_STATUS,
+  NO_ATTEMPTS,
   type NextStep,
-  type Tries,
-  type TryOutcome,
+  type AttemptCounts,
+  type AttemptSummary,
   decideNext,
-  mayBeSentTwice,
+  mayHedge,
 } from './retry';
-export { SendBudget } from './send-budget';
+export { HedgeBudget } from './hedge-budget';
 export {
-  ALL_DECISIONS,
+  DEFAULT_DECISION_SWITCHES,
   type DecisionSwitches,
-  PLACEMENT_POLICIES,
+  PLACEMENT_POLICY_NAMES,
   decisionSwitchesSchema,
 } from './switches';
 export {
@@ -51,4 +51,4 @@
   isPausedAt,
   nextHealth,
 } from './target-health';
-export { UsualTimes } from './usual-times';
+export { LatencyQuantiles } from './latency-quantiles';
--- a/src/decisions/keys.ts
+++ b/src/decisions/key-check.ts
@@ -23,14 +23,17 @@
   readonly removalMilliseconds: number | undefined;
 }
 
-export type KeyVerdict =
+export type KeyDecision =
   | { readonly kind: 'serve' }
   /** The local configuration does not contain the key; the newest configuration decides. */
   | { readonly kind: 'ask' }
   | { readonly kind: 'refuse'; readonly refusal: Refusal };
 
 /** Whether the last confirmation by the leader is recent enough to accept keys. Milliseconds. */
-export function mayUseKeys(confirmationAge: number, removalMilliseconds = Infinity): boolean {
+export function isConfirmationValid(
+  confirmationAge: number,
+  removalMilliseconds = Infinity,
+): boolean {
   return confirmationAge <= removalMilliseconds * CONFIRMATION_VALIDITY_SHARE;
 }
 
@@ -39,11 +42,11 @@
  * after the leader confirmed the configuration, so that a gateway that was partitioned, suspended
  * or restarted stops accepting removed keys.
  */
-export function judgeKey({
+export function checkKey({
   identity,
   confirmationAge,
   removalMilliseconds,
-}: KeyCheckInput): KeyVerdict {
+}: KeyCheckInput): KeyDecision {
   switch (identity.kind) {
     case 'anyone':
       return { kind: 'serve' };
@@ -52,7 +55,7 @@
     case 'unknown-key':
       return { kind: 'ask' };
     case 'team':
-      if (mayUseKeys(confirmationAge, removalMilliseconds)) return { kind: 'serve' };
+      if (isConfirmationValid(confirmationAge, removalMilliseconds)) return { kind: 'serve' };
       return { kind: 'refuse', refusal: KEYS_UNCONFIRMED };
   }
 }
--- a/src/decisions/usual-times.ts
+++ b/src/decisions/latency-quantiles.ts
@@ -15,7 +15,7 @@
 }
 
 /** Quantile of the latency of each route over its latest calls. */
-export class UsualTimes {
+export class LatencyQuantiles {
   readonly #quantile: number;
   readonly #routes = new Map<string, RouteSamples>();
 
@@ -24,7 +24,7 @@
     this.#quantile = quantile;
   }
 
-  note(route: string, milliseconds: number): void {
+  record(route: string, milliseconds: number): void {
     const state = this.#routes.get(route) ?? {
       milliseconds: [],
       nextIndex: 0,
@@ -42,7 +42,7 @@
   }
 
   /** Milliseconds; undefined while the route has too few state. */
-  of(route: string): number | undefined {
+  quantileOf(route: string): number | undefined {
     return this.#routes.get(route)?.quantileMilliseconds;
   }
 
--- a/src/decisions/baselines.ts
+++ b/src/decisions/placement-policies.ts
@@ -3,7 +3,7 @@
   EnginePlacementPolicy,
   type PlacementDecision,
   type PlacementInput,
-  type Placer,
+  type PlacementPolicy,
   SlotPlacementPolicy,
   selectLowestCost,
   excludePaused,
@@ -11,7 +11,7 @@
 import type { DecisionSwitches } from './switches';
 
 /** Cycles through the targets and ignores their load, failures and caches. */
-class RoundRobinPlacementPolicy implements Placer {
+class RoundRobinPlacementPolicy implements PlacementPolicy {
   #next = 0;
 
   place({ candidates }: PlacementInput): PlacementDecision | undefined {
@@ -24,14 +24,14 @@
 }
 
 /** Selects the target with the fewest requests in flight. */
-class LeastLoadPlacementPolicy implements Placer {
+class LeastLoadPlacementPolicy implements PlacementPolicy {
   place({ candidates }: PlacementInput, random: RandomSource): PlacementDecision | undefined {
     return selectLowestCost(candidates, ({ load }) => load, random);
   }
 }
 
 /** Selects the target that caches most of the prompt; the load only breaks ties. */
-class PrefixAffinityPlacementPolicy implements Placer {
+class PrefixAffinityPlacementPolicy implements PlacementPolicy {
   place(input: PlacementInput, random: RandomSource): PlacementDecision | undefined {
     const { candidates, lastTarget, lastTargetCachedTokens } = input;
     const mostCachedTokens = Math.max(
@@ -49,13 +49,13 @@
 }
 
 /** Policies for engine services and for plain services with a number of slots. */
-export interface Placers {
-  readonly engine: Placer;
-  readonly slot: Placer;
+export interface PlacementPolicies {
+  readonly engine: PlacementPolicy;
+  readonly slot: PlacementPolicy;
 }
 
 /** Creates the policies that the `placement-policy` setting names. */
-export function createPlacers(switches: DecisionSwitches): Placers {
+export function createPlacementPolicies(switches: DecisionSwitches): PlacementPolicies {
   switch (switches['placement-policy']) {
     case 'soonest':
       return {
--- a/src/decisions/placement.ts
+++ b/src/decisions/placement.ts
@@ -37,7 +37,7 @@
 }
 
 /** Algorithm that selects a target for a request. */
-export interface Placer {
+export interface PlacementPolicy {
   /** Returns undefined if there is no candidate. */
   place(input: PlacementInput, random: RandomSource): PlacementDecision | undefined;
 }
@@ -58,7 +58,7 @@
  * contention, expected failures and cross-zone latency. A conversation moves to another engine only
  * if contention costs more than the prefill there.
  */
-export class EnginePlacementPolicy implements Placer {
+export class EnginePlacementPolicy implements PlacementPolicy {
   readonly #switches: DecisionSwitches;
 
   constructor(switches: DecisionSwitches) {
@@ -100,7 +100,7 @@
  * Selects the target with the largest share of free slots, with penalties for failures and for
  * targets in another zone.
  */
-export class SlotPlacementPolicy implements Placer {
+export class SlotPlacementPolicy implements PlacementPolicy {
   readonly #switches: DecisionSwitches;
 
   constructor(switches: DecisionSwitches) {
--- a/src/decisions/refusal.ts
+++ b/src/decisions/refusal.ts
@@ -54,7 +54,7 @@
 }
 
 /** Refusal of a request that may have run and is not safe to retry. */
-export function refuseAsUnknown(reason: string): Refusal {
+export function refuseUnknownOutcome(reason: string): Refusal {
   return {
     status: 502,
     code: 'outcome_unknown',
@@ -63,7 +63,7 @@
 }
 
 /** Refusal of a request whose deadline has passed. */
-export function refuseAsTooLate(mayHaveRun: boolean): Refusal {
+export function refuseAfterDeadline(mayHaveRun: boolean): Refusal {
   if (mayHaveRun) {
     const message = 'no answer came in time; the request may have run';
     return { status: 504, code: 'time_over', message };
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -1,14 +1,14 @@
 import type { Route } from '../routes';
-import { type Refusal, refuseAsTooLate, refuseAsUnknown } from './refusal';
+import { type Refusal, refuseAfterDeadline, refuseUnknownOutcome } from './refusal';
 
 /** Number of targets that could not be reached after which a request is refused. */
 const UNREACHABLE_TARGET_LIMIT = 4;
 
 /** 421 Misdirected Request (RFC 9110): another server now has the address of the target. */
-export const MISDIRECTED = 421;
+export const MISDIRECTED_REQUEST_STATUS = 421;
 
 /** How an attempt at a target ended, without the response. */
-export type TryOutcome =
+export type AttemptSummary =
   | { readonly kind: 'answered' }
   /** The complete response was streamed to the receiver. */
   | { readonly kind: 'streamed' }
@@ -22,7 +22,7 @@
   | { readonly kind: 'given-up'; readonly sent: boolean; readonly began: boolean };
 
 /** Attempts of one request so far. */
-export interface Tries {
+export interface AttemptCounts {
   /** Attempts that count against the route's limit. */
   readonly reached: number;
   /** Attempts at targets that could not be reached or whose address belongs to another server. */
@@ -31,13 +31,13 @@
   readonly mayHaveRun: boolean;
 }
 
-export const NO_TRIES: Tries = { reached: 0, unreached: 0, mayHaveRun: false };
+export const NO_ATTEMPTS: AttemptCounts = { reached: 0, unreached: 0, mayHaveRun: false };
 
 export interface RetryInput {
   readonly route: Pick<Route, 'kind' | 'isResumable' | 'attempts'>;
-  readonly tries: Tries;
+  readonly tries: AttemptCounts;
   /** Outcome of the latest attempt. */
-  readonly outcome: TryOutcome;
+  readonly outcome: AttemptSummary;
   readonly hasCallerLeft: boolean;
   /** Whether retries are enabled in the settings. */
   readonly retries: boolean;
@@ -47,9 +47,9 @@
 export type NextStep =
   | { readonly kind: 'deliver' }
   | { readonly kind: 'caller-left' }
-  | { readonly kind: 'try-another'; readonly tries: Tries }
+  | { readonly kind: 'try-another'; readonly tries: AttemptCounts }
   /** No further attempt is allowed. */
-  | { readonly kind: 'exhausted'; readonly tries: Tries }
+  | { readonly kind: 'exhausted'; readonly tries: AttemptCounts }
   | {
       readonly kind: 'refuse';
       readonly refusal: Refusal;
@@ -77,12 +77,12 @@
     case 'given-up': {
       if (hasCallerLeft) return { kind: 'caller-left' };
       const mayHaveRun = tries.mayHaveRun || outcome.sent;
-      const refusal = refuseAsTooLate(mayHaveRun);
+      const refusal = refuseAfterDeadline(mayHaveRun);
       return { kind: 'refuse', refusal, began: outcome.began, isNotRun: !mayHaveRun };
     }
     case 'unknown':
       if (outcome.began || !isRetrySafe(route)) {
-        const refusal = refuseAsUnknown(outcome.reason);
+        const refusal = refuseUnknownOutcome(outcome.reason);
         return { kind: 'refuse', refusal, began: outcome.began, isNotRun: false };
       }
       return retryOrExhaust(
@@ -98,21 +98,21 @@
 }
 
 /** Whether a hedged request may be sent while the first attempt is outstanding. */
-export function mayBeSentTwice({ kind, attempts }: RetryInput['route'], tries: Tries): boolean {
+export function mayHedge({ kind, attempts }: RetryInput['route'], tries: AttemptCounts): boolean {
   return kind === 'repeatable' && tries.reached + 1 < attempts;
 }
 
 /**
  * A misdirected request never reached its target, so it does not count against the route's limit.
  */
-function countRejected(tries: Tries, status: number): Tries {
-  if (status === MISDIRECTED) return { ...tries, unreached: tries.unreached + 1 };
+function countRejected(tries: AttemptCounts, status: number): AttemptCounts {
+  if (status === MISDIRECTED_REQUEST_STATUS) return { ...tries, unreached: tries.unreached + 1 };
   return { ...tries, reached: tries.reached + 1 };
 }
 
 function retryOrExhaust(
   { attempts }: RetryInput['route'],
-  tries: Tries,
+  tries: AttemptCounts,
   retries: boolean,
 ): NextStep {
   const isExhausted = tries.reached >= attempts || tries.unreached >= UNREACHABLE_TARGET_LIMIT;
--- a/src/decisions/switches.ts
+++ b/src/decisions/switches.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /** `soonest` is used in production; the others are baselines for benchmarks. */
-export const PLACEMENT_POLICIES = [
+export const PLACEMENT_POLICY_NAMES = [
   'soonest',
   'round-robin',
   'least-load',
@@ -11,7 +11,7 @@
 /** Settings that disable single decision mechanisms, for ablation benchmarks. */
 export const decisionSwitchesSchema = z
   .strictObject({
-    'placement-policy': z.enum(PLACEMENT_POLICIES).default('soonest'),
+    'placement-policy': z.enum(PLACEMENT_POLICY_NAMES).default('soonest'),
     /** Prefer engines that cache parts of the prompt, estimated from what this process has sent. */
     'held-parts': z.boolean().default(true),
     /** Prefer the engine of the conversation's previous turn, which caches the conversation. */
@@ -39,4 +39,4 @@
 
 export type DecisionSwitches = z.output<typeof decisionSwitchesSchema>;
 
-export const ALL_DECISIONS: DecisionSwitches = decisionSwitchesSchema.parse({});
+export const DEFAULT_DECISION_SWITCHES: DecisionSwitches = decisionSwitchesSchema.parse({});
--- a/src/decisions/tests/admission.test.ts
+++ b/src/decisions/tests/admission.test.ts
@@ -1,7 +1,7 @@
-import { type Learned, admitTurn, preparationTime, refuseWithoutTarget } from '..';
+import { type StoreResult, admitTurn, preparationTimeout, refuseWithoutTarget } from '..';
 
-const CHAIN: Learned<readonly string[] | undefined> = { kind: 'known', value: ['turn'] };
-const FITS: Learned<boolean> = { kind: 'known', value: true };
+const CHAIN: StoreResult<readonly string[] | undefined> = { kind: 'known', value: ['turn'] };
+const FITS: StoreResult<boolean> = { kind: 'known', value: true };
 const UNAVAILABLE = { kind: 'unavailable', reason: 'too few stores answer' } as const;
 
 describe('admitTurn', () => {
@@ -10,8 +10,11 @@
     expect(admission).toEqual({ kind: 'admitted', chain: ['turn'] });
   });
 
-  const MISSING_CHAIN: Learned<readonly string[] | undefined> = { kind: 'known', value: undefined };
-  const EXCEEDS: Learned<boolean> = { kind: 'known', value: false };
+  const MISSING_CHAIN: StoreResult<readonly string[] | undefined> = {
+    kind: 'known',
+    value: undefined,
+  };
+  const EXCEEDS: StoreResult<boolean> = { kind: 'known', value: false };
 
   it.each([
     ['404 when the stores confirm that the turn does not exist', MISSING_CHAIN, FITS, 404],
@@ -25,8 +28,8 @@
   });
 
   it('shortens the store timeout and lengthens Retry-After without a quorum', () => {
-    expect(preparationTime(false)).toBeLessThan(50);
-    expect(preparationTime(true)).toBe(1500);
+    expect(preparationTimeout(false)).toBeLessThan(50);
+    expect(preparationTimeout(true)).toBe(1500);
     const unavailable = { chain: UNAVAILABLE, fitsBudget: FITS };
     const withQuorum = admitTurn({ ...unavailable, reachesQuorum: true });
     const withoutQuorum = admitTurn({ ...unavailable, reachesQuorum: false });
--- a/src/decisions/tests/keys.test.ts
+++ b/src/decisions/tests/key-check.test.ts
@@ -1,5 +1,5 @@
 import type { Team } from '../../teams';
-import { judgeKey, mayUseKeys } from '..';
+import { checkKey, isConfirmationValid } from '..';
 
 const TEAM: Team = { name: 'red', keyDigests: [], priority: 0, quota: undefined };
 const IDENTITY = { kind: 'team', team: TEAM } as const;
@@ -10,14 +10,14 @@
 
     it('accepts a key until 85% of the deadline has passed since the last confirmation', () => {
       const decisionAt = (confirmationAge: number) =>
-        judgeKey({ identity: IDENTITY, confirmationAge, removalMilliseconds }).kind;
+        checkKey({ identity: IDENTITY, confirmationAge, removalMilliseconds }).kind;
       expect([0, 3000, 4200].map(decisionAt)).toEqual(['serve', 'serve', 'serve']);
       expect([4300, 5000, Infinity].map(decisionAt)).toEqual(['refuse', 'refuse', 'refuse']);
     });
 
     it('refuses with 503 and Retry-After when the confirmation has expired', () => {
       const snapshot = { identity: IDENTITY, confirmationAge: Infinity, removalMilliseconds };
-      expect(judgeKey(snapshot)).toMatchObject({
+      expect(checkKey(snapshot)).toMatchObject({
         refusal: { status: 503, code: 'keys_unconfirmed', retryAfterSeconds: 0.6 },
       });
     });
@@ -25,7 +25,7 @@
 
   describe('without a removal deadline', () => {
     it('accepts a key without a confirmation', () => {
-      expect(mayUseKeys(Infinity, undefined)).toBe(true);
+      expect(isConfirmationValid(Infinity, undefined)).toBe(true);
     });
   });
 
@@ -33,14 +33,14 @@
     const unconfirmed = { confirmationAge: Infinity, removalMilliseconds: 5000 };
 
     it('serves anonymous callers without a confirmation', () => {
-      expect(judgeKey({ identity: { kind: 'anyone' }, ...unconfirmed })).toEqual({ kind: 'serve' });
+      expect(checkKey({ identity: { kind: 'anyone' }, ...unconfirmed })).toEqual({ kind: 'serve' });
     });
 
     it('refuses a missing key and asks the leader about an unknown key', () => {
-      expect(judgeKey({ identity: { kind: 'no-key' }, ...unconfirmed })).toMatchObject({
+      expect(checkKey({ identity: { kind: 'no-key' }, ...unconfirmed })).toMatchObject({
         refusal: { status: 401, code: 'no_key' },
       });
-      expect(judgeKey({ identity: { kind: 'unknown-key' }, ...unconfirmed })).toEqual({
+      expect(checkKey({ identity: { kind: 'unknown-key' }, ...unconfirmed })).toEqual({
         kind: 'ask',
       });
     });
--- a/src/decisions/tests/placement.test.ts
+++ b/src/decisions/tests/placement.test.ts
@@ -1,9 +1,9 @@
 import { SeededRandom } from '../../core';
 import {
-  ALL_DECISIONS,
+  DEFAULT_DECISION_SWITCHES,
   type DecisionSwitches,
   type PlacementCandidate,
-  createPlacers,
+  createPlacementPolicies,
   decisionSwitchesSchema,
   enginePriority,
 } from '..';
@@ -28,7 +28,7 @@
   candidates: readonly PlacementCandidate[],
   switches: Partial<DecisionSwitches> = {},
 ): string | undefined {
-  const { engine } = createPlacers({ ...ALL_DECISIONS, ...switches });
+  const { engine } = createPlacementPolicies({ ...DEFAULT_DECISION_SWITCHES, ...switches });
   const prompt = { promptTokens: 4000, lastTarget: 'last', lastTargetCachedTokens: 3900 };
   const input = { availabilityZone: 'a', ...prompt, candidates };
   return engine.place(input, RANDOM)?.candidate.id;
@@ -40,7 +40,9 @@
 
   it('are all enabled by default and reject unknown keys', () => {
     expect(
-      Object.values(ALL_DECISIONS).every((value) => value === true || value === 'soonest'),
+      Object.values(DEFAULT_DECISION_SWITCHES).every(
+        (value) => value === true || value === 'soonest',
+      ),
     ).toBe(true);
     expect(decisionSwitchesSchema.safeParse({ zone: false }).success).toBe(false);
   });
@@ -79,7 +81,10 @@
   ];
 
   it('round-robin cycles through the targets', () => {
-    const { engine } = createPlacers({ ...ALL_DECISIONS, 'placement-policy': 'round-robin' });
+    const { engine } = createPlacementPolicies({
+      ...DEFAULT_DECISION_SWITCHES,
+      'placement-policy': 'round-robin',
+    });
     const input = {
       availabilityZone: 'a',
       promptTokens: 0,
--- a/src/decisions/tests/retry.test.ts
+++ b/src/decisions/tests/retry.test.ts
@@ -1,23 +1,23 @@
-import { NO_TRIES, type Tries, type TryOutcome, decideNext, mayBeSentTwice } from '..';
+import { NO_ATTEMPTS, type AttemptCounts, type AttemptSummary, decideNext, mayHedge } from '..';
 
 const ONCE = { kind: 'once', isResumable: false, attempts: 2 } as const;
 const REPEATABLE = { ...ONCE, kind: 'repeatable' } as const;
 const STREAM = { ...ONCE, kind: 'stream' } as const;
 
-const CONNECTION_RESET: TryOutcome = { kind: 'unknown', reason: 'reset', began: false };
-const REJECTED: TryOutcome = { kind: 'not-run', status: 503 };
-const UNREACHABLE: TryOutcome = { kind: 'not-sent', reason: 'refused' };
+const CONNECTION_RESET: AttemptSummary = { kind: 'unknown', reason: 'reset', began: false };
+const REJECTED: AttemptSummary = { kind: 'not-run', status: 503 };
+const UNREACHABLE: AttemptSummary = { kind: 'not-sent', reason: 'refused' };
 
 function nextStep(
-  outcome: TryOutcome,
-  route: Parameters<typeof mayBeSentTwice>[0] = ONCE,
+  outcome: AttemptSummary,
+  route: Parameters<typeof mayHedge>[0] = ONCE,
   overrides: {
-    readonly tries?: Tries;
+    readonly tries?: AttemptCounts;
     readonly hasCallerLeft?: boolean;
     readonly retries?: boolean;
   } = {},
 ) {
-  const { tries = NO_TRIES, hasCallerLeft = false, retries = true } = overrides;
+  const { tries = NO_ATTEMPTS, hasCallerLeft = false, retries = true } = overrides;
   return decideNext({ route, tries, outcome, hasCallerLeft, retries });
 }
 
@@ -25,8 +25,8 @@
   describe('after an attempt that did not run', () => {
     it('retries at another target up to the attempt limit of the route', () => {
       const second = nextStep(REJECTED);
-      expect(second).toEqual({ kind: 'try-another', tries: { ...NO_TRIES, reached: 1 } });
-      expect(nextStep(REJECTED, ONCE, { tries: { ...NO_TRIES, reached: 1 } }).kind).toBe(
+      expect(second).toEqual({ kind: 'try-another', tries: { ...NO_ATTEMPTS, reached: 1 } });
+      expect(nextStep(REJECTED, ONCE, { tries: { ...NO_ATTEMPTS, reached: 1 } }).kind).toBe(
         'exhausted',
       );
     });
@@ -40,7 +40,7 @@
     });
 
     it('gives up after four unreachable targets', () => {
-      let tries: Tries = NO_TRIES;
+      let tries: AttemptCounts = NO_ATTEMPTS;
       for (let count = 0; count < 3; count += 1) {
         const step = nextStep(UNREACHABLE, ONCE, { tries });
         if (step.kind !== 'try-another') throw new Error(step.kind);
@@ -68,19 +68,19 @@
     });
 
     it('refuses once a part of the response was streamed', () => {
-      const began: TryOutcome = { kind: 'unknown', reason: 'reset', began: true };
+      const began: AttemptSummary = { kind: 'unknown', reason: 'reset', began: true };
       expect(nextStep(began, REPEATABLE)).toMatchObject({ kind: 'refuse', began: true });
     });
   });
 
   describe('after the deadline', () => {
-    const sent: TryOutcome = { kind: 'given-up', sent: true, began: false };
+    const sent: AttemptSummary = { kind: 'given-up', sent: true, began: false };
 
     it('refuses with 504 when the request may have run, otherwise with 503', () => {
       expect(nextStep(sent)).toMatchObject({ refusal: { status: 504 }, isNotRun: false });
-      const unsent: TryOutcome = { kind: 'given-up', sent: false, began: false };
+      const unsent: AttemptSummary = { kind: 'given-up', sent: false, began: false };
       expect(nextStep(unsent)).toMatchObject({ refusal: { status: 503 }, isNotRun: true });
-      const tries = { ...NO_TRIES, mayHaveRun: true };
+      const tries = { ...NO_ATTEMPTS, mayHaveRun: true };
       expect(nextStep(unsent, REPEATABLE, { tries })).toMatchObject({ isNotRun: false });
     });
 
@@ -92,9 +92,9 @@
 
 describe('mayHedge', () => {
   it('allows repeatable calls with an attempt left only', () => {
-    expect(mayBeSentTwice(REPEATABLE, NO_TRIES)).toBe(true);
-    expect(mayBeSentTwice(REPEATABLE, { ...NO_TRIES, reached: 1 })).toBe(false);
-    expect(mayBeSentTwice(ONCE, NO_TRIES)).toBe(false);
-    expect(mayBeSentTwice({ ...STREAM, isResumable: true }, NO_TRIES)).toBe(false);
+    expect(mayHedge(REPEATABLE, NO_ATTEMPTS)).toBe(true);
+    expect(mayHedge(REPEATABLE, { ...NO_ATTEMPTS, reached: 1 })).toBe(false);
+    expect(mayHedge(ONCE, NO_ATTEMPTS)).toBe(false);
+    expect(mayHedge({ ...STREAM, isResumable: true }, NO_ATTEMPTS)).toBe(false);
   });
 });
--- a/src/entry/directory.ts
+++ b/src/entry/directory.ts
@@ -98,7 +98,7 @@
         target: target.name,
         load: record.load,
         ownCalls: this.#ownCalls.get(target.name) ?? 0,
-        distanceMilliseconds: this.#distance(configuration, target['availability-zone']),
+        networkLatencyMilliseconds: this.#distance(configuration, target['availability-zone']),
       },
     };
   }
--- a/src/entry/process.ts
+++ b/src/entry/process.ts
@@ -8,7 +8,7 @@
   type WatchChanges,
   adoptChanges,
 } from '../protocol';
-import { createPolicy } from '../routing';
+import { createRoutingPolicy } from '../routing';
 import { type EntrySettings, programGroups } from '../settings';
 import type { EntryContext } from './context';
 import { TargetDirectory } from './directory';
@@ -47,7 +47,7 @@
       availabilityZone: host['availability-zone'],
       random,
     }),
-    policy: createPolicy(entry.policy),
+    policy: createRoutingPolicy(entry.policy),
     clock,
     random,
     logger,
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
 import type { Clock } from '../core';
-import { MISDIRECTED, type TryOutcome } from '../decisions';
+import { MISDIRECTED_REQUEST_STATUS, type AttemptSummary } from '../decisions';
 import type { TargetConnection } from '../targets';
 import { withoutConnectionHeaders } from './headers';
 import type { ResponseHead, WireFormat } from './wire-format';
@@ -15,7 +15,7 @@
       readonly headers: readonly string[];
       readonly body: Buffer;
     }
-  | Exclude<TryOutcome, { readonly kind: 'answered' }>;
+  | Exclude<AttemptSummary, { readonly kind: 'answered' }>;
 
 /** Receives a successful response as it arrives. */
 export interface ResponseReceiver {
@@ -65,7 +65,7 @@
     const { connection, method, path, headers, body } = this.#options;
     return new Promise((resolve) => {
       this.#resolve = resolve;
-      const options = { method: method, path, headers, body };
+      const options = { method, path, headers, body };
       try {
         connection.dispatch(options, this);
       } catch (error) {
@@ -125,7 +125,7 @@
     if (connection.hasFailed()) {
       const reason = 'the connection was reset before the end of the answer';
       this.#settle({ kind: 'unknown', reason, began: this.#hasBegun });
-    } else if (this.#head?.isNotRun === true || status === MISDIRECTED) {
+    } else if (this.#head?.isNotRun === true || status === MISDIRECTED_REQUEST_STATUS) {
       this.#settle({ kind: 'not-run', status }, true);
     } else if (receiver !== undefined && isSuccess(status)) {
       if (!this.#hasBegun) receiver.begin(status, this.#headers);
--- a/src/gateway/call-handler.ts
+++ b/src/gateway/call-handler.ts
@@ -51,5 +51,5 @@
 /** Placement of a request that continues no turn. */
 export function placementOf({ head }: Exchange): PlacementRequest {
   const { parts, promptTokens } = head;
-  return { parts, promptTokens, lastTarget: undefined, heldTokens: 0 };
+  return { parts, promptTokens, lastTarget: undefined, cachedTokens: 0 };
 }
--- a/src/gateway/forwarder.ts
+++ b/src/gateway/forwarder.ts
@@ -1,15 +1,15 @@
 import type { Clock, Metrics, RandomSource } from '../core';
 import {
   type DecisionSwitches,
-  NO_TRIES,
+  NO_ATTEMPTS,
   type NextStep,
-  type Placers,
+  type PlacementPolicies,
   type Refusal,
-  type Tries,
+  type AttemptCounts,
   decideNext,
-  mayBeSentTwice,
-  refuseAsTooLate,
-  refuseAsUnknown,
+  mayHedge,
+  refuseAfterDeadline,
+  refuseUnknownOutcome,
   refuseWithoutTarget,
 } from '../decisions';
 import type { Route, RouteTable } from '../routes';
@@ -19,7 +19,7 @@
   PlacementRequest,
   TargetChooser,
   TargetDirectory,
-  UsualDurations,
+  DurationAverages,
 } from '../targets';
 import type { AttemptOutcome } from './attempt';
 import type { KeyGuard } from './key-guard';
@@ -29,10 +29,10 @@
 export interface ForwarderOptions {
   readonly targets: TargetDirectory;
   readonly chooser: Pick<TargetChooser, 'choose'>;
-  readonly placers: Placers;
+  readonly placers: PlacementPolicies;
   readonly sender: Pick<Sender, 'send'>;
   readonly keyGuard: Pick<KeyGuard, 'recheck'>;
-  readonly durations: Pick<UsualDurations, 'of'>;
+  readonly durations: Pick<DurationAverages, 'averageOf'>;
   readonly switches: DecisionSwitches;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -81,15 +81,15 @@
     const { exchange, route } = request;
     const service = pickService(route.services, this.#options.random.fraction())?.service ?? '';
     const progress: ForwardProgress = { request, service, tried: new Set() };
-    let attempts = NO_TRIES;
+    let attempts = NO_ATTEMPTS;
     for (;;) {
       if (exchange.hasDisconnected()) return { kind: 'caller-disconnected' };
       if (exchange.remainingMilliseconds <= 0) {
-        return refuse(refuseAsTooLate(attempts.mayHaveRun), attempts);
+        return refuse(refuseAfterDeadline(attempts.mayHaveRun), attempts);
       }
       const forbidden = this.#options.keyGuard.recheck(exchange);
       if (forbidden !== undefined) {
-        const refusal = attempts.mayHaveRun ? refuseAsUnknown(forbidden.message) : forbidden;
+        const refusal = attempts.mayHaveRun ? refuseUnknownOutcome(forbidden.message) : forbidden;
         return refuse(refusal, attempts);
       }
       const placement = this.#chooseTarget(progress);
@@ -114,7 +114,7 @@
 
   #decideNext(
     { route, exchange }: ForwardRequest,
-    attempts: Tries,
+    attempts: AttemptCounts,
     outcome: AttemptOutcome,
   ): NextStep {
     const { retries } = this.#options.switches;
@@ -131,12 +131,12 @@
   async #attempt(
     placement: Placement,
     progress: ForwardProgress,
-    attempts: Tries,
+    attempts: AttemptCounts,
   ): Promise<HedgedResult> {
     const { switches, sender, metrics } = this.#options;
     const { request } = progress;
     const first = sender.send(placement, request);
-    if (!switches['second-sends'] || !mayBeSentTwice(request.route, attempts)) {
+    if (!switches['second-sends'] || !mayHedge(request.route, attempts)) {
       return { outcome: await first, attemptCount: 1 };
     }
     return this.#hedger.run({
@@ -157,7 +157,7 @@
     const settings = request.table.service(service);
     const placement = chooser.choose({
       service,
-      placer: settings?.engine === undefined ? placers.slot : placers.engine,
+      policy: settings?.engine === undefined ? placers.slot : placers.engine,
       placement: request.placement,
       tried,
       connectionLimit: settings?.connectionLimit ?? Infinity,
@@ -166,16 +166,16 @@
     return placement;
   }
 
-  #refuseExhausted({ service }: ForwardProgress, attempts: Tries): ForwardOutcome {
-    if (attempts.mayHaveRun) return refuse(refuseAsUnknown('all tries failed'), attempts);
+  #refuseExhausted({ service }: ForwardProgress, attempts: AttemptCounts): ForwardOutcome {
+    if (attempts.mayHaveRun) return refuse(refuseUnknownOutcome('all tries failed'), attempts);
     const { targets, durations } = this.#options;
     const loads = targets
       .ofService(service)
       .all.map(({ load, target }) => ({ load, slots: target.slots }));
-    return refuse(refuseWithoutTarget(service, loads, durations.of(service)), attempts);
+    return refuse(refuseWithoutTarget(service, loads, durations.averageOf(service)), attempts);
   }
 }
 
-function refuse(refusal: Refusal, { mayHaveRun }: Tries): ForwardOutcome {
+function refuse(refusal: Refusal, { mayHaveRun }: AttemptCounts): ForwardOutcome {
   return { kind: 'refused', refusal, began: false, isNotRun: !mayHaveRun };
 }
--- a/src/gateway/key-guard.ts
+++ b/src/gateway/key-guard.ts
@@ -1,12 +1,12 @@
-import type { Confirmation } from '../cluster';
+import type { LeaderConfirmation } from '../cluster';
 import type { Metrics } from '../core';
 import {
   KEYS_UNCONFIRMED,
-  type KeyVerdict,
+  type KeyDecision,
   type Refusal,
   UNKNOWN_KEY,
-  judgeKey,
-  mayUseKeys,
+  checkKey,
+  isConfirmationValid,
 } from '../decisions';
 import type { Route, RouteTable } from '../routes';
 import { type Identity, identify } from '../teams';
@@ -28,7 +28,7 @@
    * parse.
    */
   readonly newestVersion: () => number;
-  readonly confirmation: Confirmation;
+  readonly confirmation: LeaderConfirmation;
   /** Time within which a removed key must stop working; undefined for no limit. */
   readonly removalMilliseconds: number | undefined;
   readonly metrics: Metrics;
@@ -46,7 +46,9 @@
   get isConfirmed(): boolean {
     const { routes, removalMilliseconds, confirmation } = this.#options;
     if (routes()?.teams === undefined) return true;
-    return this.#knowsNewest && mayUseKeys(confirmation.ageMilliseconds, removalMilliseconds);
+    return (
+      this.#knowsNewest && isConfirmationValid(confirmation.ageMilliseconds, removalMilliseconds)
+    );
   }
 
   /** Sets the caller's team on the exchange; returns a refusal if the caller may not be served. */
@@ -70,7 +72,7 @@
     return verdict.kind === 'refuse' ? verdict.refusal : undefined;
   }
 
-  #applyVerdict(exchange: Exchange, identity: Identity, verdict: KeyVerdict): Refusal | undefined {
+  #applyVerdict(exchange: Exchange, identity: Identity, verdict: KeyDecision): Refusal | undefined {
     const { routes, confirmation, removalMilliseconds } = this.#options;
     exchange.hidesKey = routes()?.teams !== undefined;
     exchange.team = identity.kind === 'team' ? identity.team : undefined;
@@ -95,10 +97,10 @@
     return identify(this.#options.routes()?.teams, { key: head.key, isPublic });
   }
 
-  #judgeIdentity(identity: Identity): KeyVerdict {
+  #judgeIdentity(identity: Identity): KeyDecision {
     const { confirmation, removalMilliseconds } = this.#options;
     const confirmationAge = this.#knowsNewest ? confirmation.ageMilliseconds : Infinity;
-    return judgeKey({ identity, confirmationAge, removalMilliseconds });
+    return checkKey({ identity, confirmationAge, removalMilliseconds });
   }
 
   /** False while the newest configuration cannot be parsed by this process. */
@@ -112,14 +114,14 @@
    * a new one is due shortly. A process that has lost the leader refuses at once.
    */
   get #awaitsConfirmation(): boolean {
-    return !this.isConfirmed && this.#options.confirmation.isDue;
+    return !this.isConfirmed && this.#options.confirmation.isInGracePeriod;
   }
 
   /** Waits until the leader confirms the configuration, or the timeout passes. */
   async #awaitConfirmation({ arrivedAt }: Exchange): Promise<void> {
     const { confirmation, metrics } = this.#options;
     metrics.count('keys_asked_total');
-    if (confirmation.waiting >= CONFIRMATION_WAITERS_LIMIT) return;
-    await confirmation.confirmedSince(arrivedAt, CONFIRMATION_TIMEOUT_MILLISECONDS);
+    if (confirmation.waiterCount >= CONFIRMATION_WAITERS_LIMIT) return;
+    await confirmation.waitForConfirmation(arrivedAt, CONFIRMATION_TIMEOUT_MILLISECONDS);
   }
 }
--- a/src/gateway/request-hedger.ts
+++ b/src/gateway/request-hedger.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../core';
-import { SendBudget, UsualTimes } from '../decisions';
+import { HedgeBudget, LatencyQuantiles } from '../decisions';
 import type { AttemptOutcome } from './attempt';
 
 /** Quantile of a route's latency after which a call is hedged. */
@@ -33,8 +33,8 @@
  */
 export class RequestHedger {
   readonly #clock: Clock;
-  readonly #latencyQuantiles = new UsualTimes(HEDGE_QUANTILE);
-  readonly #budget = new SendBudget(HEDGES_PER_CALL);
+  readonly #latencyQuantiles = new LatencyQuantiles(HEDGE_QUANTILE);
+  readonly #budget = new HedgeBudget(HEDGES_PER_CALL);
 
   constructor({ clock }: RequestHedgerOptions) {
     this.#clock = clock;
@@ -42,13 +42,13 @@
 
   async run({ route, first, startSecondAttempt }: HedgedCall): Promise<HedgedResult> {
     const startedAt = this.#clock.monotonic();
-    this.#budget.noteCall();
-    const hedgeDelay = this.#latencyQuantiles.of(route);
+    this.#budget.recordCall();
+    const hedgeDelay = this.#latencyQuantiles.quantileOf(route);
     const isLate = hedgeDelay !== undefined && (await this.#isLaterThan(first, hedgeDelay));
     const second = isLate && this.#budget.take() ? startSecondAttempt() : undefined;
     const outcome = await (second === undefined ? first : firstSuccess(first, second));
     if (outcome.kind === 'answered')
-      this.#latencyQuantiles.note(route, this.#clock.monotonic() - startedAt);
+      this.#latencyQuantiles.record(route, this.#clock.monotonic() - startedAt);
     return { outcome, attemptCount: second === undefined ? 1 : 2 };
   }
 
--- a/src/gateway/sender.ts
+++ b/src/gateway/sender.ts
@@ -1,6 +1,6 @@
 import type { Clock, Metrics } from '../core';
-import { type DecisionSwitches, type HealthEvent, MISDIRECTED } from '../decisions';
-import type { Placement, TargetConnections, UsualDurations } from '../targets';
+import { type DecisionSwitches, type HealthEvent, MISDIRECTED_REQUEST_STATUS } from '../decisions';
+import type { Placement, TargetConnectionPool, DurationAverages } from '../targets';
 import { type ResponseReceiver, Attempt, type AttemptOutcome } from './attempt';
 import type { Exchange } from './exchange';
 import type { WireFormat } from './wire-format';
@@ -9,8 +9,8 @@
 
 export interface SenderOptions {
   readonly wire: WireFormat;
-  readonly connections: TargetConnections;
-  readonly durations: Pick<UsualDurations, 'note'>;
+  readonly connections: TargetConnectionPool;
+  readonly durations: Pick<DurationAverages, 'record'>;
   readonly switches: DecisionSwitches;
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -43,12 +43,12 @@
     const sentAt = clock.monotonic();
     const outcome = await this.#attempt(placement, request);
     if (outcome.kind === 'answered' || outcome.kind === 'streamed') {
-      durations.note(placement.state.target.service, clock.monotonic() - sentAt);
+      durations.record(placement.state.target.service, clock.monotonic() - sentAt);
     }
     metrics.count(`attempts_total{outcome="${outcome.kind}"}`);
     exchange.recordDecision(describeAttempt(placement, outcome));
     const event = this.#healthEvent(outcome, exchange);
-    if (event !== undefined) placement.state.note(event);
+    if (event !== undefined) placement.state.recordOutcome(event);
     return outcome;
   }
 
@@ -102,7 +102,7 @@
     const unreachable = this.#options.switches.pauses ? 'unreachable' : 'answered-with-error';
     switch (outcome.kind) {
       case 'not-run':
-        return outcome.status === MISDIRECTED ? 'address-reused' : undefined;
+        return outcome.status === MISDIRECTED_REQUEST_STATUS ? 'address-reused' : undefined;
       case 'answered':
         return outcome.status >= LOWEST_SERVER_ERROR_STATUS ? 'answered-with-error' : 'answered';
       case 'streamed':
@@ -125,7 +125,7 @@
     target: state.target.id,
     cost: Math.round(cost * 100) / 100,
     candidates,
-    load: [state.inFlight, state.inFlightElsewhere],
+    load: [state.inFlight, state.inFlightFromOthers],
     ages: [Math.round(ages.list), Math.round(ages.loads)],
     outcome: outcome.kind,
     ...('status' in outcome ? { status: outcome.status } : {}),
--- a/src/gateway/tests/forwarder.test.ts
+++ b/src/gateway/tests/forwarder.test.ts
@@ -2,13 +2,18 @@
 import { Metrics, SeededRandom, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { type Route, RouteTable } from '../../routes';
-import { ALL_DECISIONS, type Refusal, UNKNOWN_KEY, createPlacers } from '../../decisions';
+import {
+  DEFAULT_DECISION_SWITCHES,
+  type Refusal,
+  UNKNOWN_KEY,
+  createPlacementPolicies,
+} from '../../decisions';
 import {
   TargetChooser,
   type TargetConnection,
-  type TargetConnections,
+  type TargetConnectionPool,
   TargetDirectory,
-  UsualDurations,
+  DurationAverages,
 } from '../../targets';
 import type { Exchange } from '../exchange';
 import { type ForwardRequest, Forwarder } from '../forwarder';
@@ -48,7 +53,7 @@
   route: ROUTE,
   table: TABLE,
   body: null,
-  placement: { parts: [], promptTokens: 0, lastTarget: undefined, heldTokens: 0 },
+  placement: { parts: [], promptTokens: 0, lastTarget: undefined, cachedTokens: 0 },
 };
 
 interface ForwarderFixtureOptions {
@@ -64,16 +69,20 @@
     clock: new ManualClock(),
     random: new SeededRandom(1),
     metrics: new Metrics(),
-    switches: ALL_DECISIONS,
+    switches: DEFAULT_DECISION_SWITCHES,
     targets,
-    durations: new UsualDurations(),
+    durations: new DurationAverages(),
     keyGuard: { recheck: recheck ?? (() => undefined) },
   };
   return new Forwarder({
     ...shared,
     chooser: new TargetChooser({ ...shared, availabilityZone: 'a' }),
-    placers: createPlacers(ALL_DECISIONS),
-    sender: new Sender({ ...shared, wire, connections: { take } as unknown as TargetConnections }),
+    placers: createPlacementPolicies(DEFAULT_DECISION_SWITCHES),
+    sender: new Sender({
+      ...shared,
+      wire,
+      connections: { take } as unknown as TargetConnectionPool,
+    }),
   });
 }
 
@@ -86,7 +95,7 @@
       ...parts,
       source: { list: () => Promise.resolve([]) },
     });
-    targets.take([
+    targets.update([
       {
         id: 't',
         service: 's',
@@ -99,7 +108,7 @@
     const state = targets.get('t');
     if (state === undefined) throw new Error('target t is missing from the directory');
     state.inFlight = 1;
-    state.inFlightElsewhere = 1;
+    state.inFlightFromOthers = 1;
     const take = jest.fn();
     const forwarder = createForwarder({ targets, wire: {} as WireFormat, take });
     const outcome = await forwarder.forward(REQUEST);
@@ -122,7 +131,7 @@
   const parts = { clock, random, logger: createSilentLogger() };
   const targets = new TargetDirectory({ ...parts, source: { list: () => Promise.resolve([]) } });
   const listed = { service: 's', availabilityZone: 'a', slots: 1, draining: false };
-  targets.take(['t1', 't2'].map((id) => ({ ...listed, id, address: `${id}:80` })));
+  targets.update(['t1', 't2'].map((id) => ({ ...listed, id, address: `${id}:80` })));
   let attempts = 0;
   const take = (): TargetConnection => ({
     dispatch: (_options, handler) => {
--- a/src/gateway/tests/key-guard.test.ts
+++ b/src/gateway/tests/key-guard.test.ts
@@ -1,4 +1,4 @@
-import { Confirmation } from '../../cluster';
+import { LeaderConfirmation } from '../../cluster';
 import { Metrics } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { type Route, RouteTable } from '../../routes';
@@ -19,7 +19,7 @@
 
 class KeyGuardFixture {
   readonly clock = new ManualClock();
-  readonly confirmation = new Confirmation(this.clock);
+  readonly confirmation = new LeaderConfirmation(this.clock);
   readonly guard: KeyGuard;
   table = tableOf(1, { red: ['r1'], blue: ['b1'] });
   newestVersion = 1;
@@ -44,7 +44,7 @@
   runFor(milliseconds: number): void {
     for (let passed = 0; passed < milliseconds; passed += 100) {
       this.clock.advance(100);
-      this.confirmation.noteRunning();
+      this.confirmation.recordActivity();
     }
   }
 
@@ -60,7 +60,7 @@
     const exchange = { head: { key: 'b1' }, arrivedAt: 0 } as unknown as Exchange;
     expect(await guard.admit(exchange, ROUTE)).toBeUndefined();
     expect([exchange.team?.name, exchange.hidesKey]).toEqual(['blue', true]);
-    expect(fixture.confirmation.waiting).toBe(0);
+    expect(fixture.confirmation.waiterCount).toBe(0);
   });
 
   it('refuses a request without a key at once, even before the first confirmation by the leader', async () => {
@@ -94,7 +94,7 @@
       const fixture = new KeyGuardFixture();
       fixture.clock.jump(20_000);
       const first = fixture.guard.admit(fixture.exchange('r1'), ROUTE);
-      fixture.confirmation.noteRunning();
+      fixture.confirmation.recordActivity();
       const second = fixture.guard.admit(fixture.exchange('b1'), ROUTE);
       fixture.clock.advance(40);
       fixture.confirmation.confirm(20_010);
--- a/src/gateway/tests/request-hedger.test.ts
+++ b/src/gateway/tests/request-hedger.test.ts
@@ -1,5 +1,5 @@
 import { ManualClock } from '../../core/tests/manual-clock';
-import { SendBudget, UsualTimes } from '../../decisions';
+import { HedgeBudget, LatencyQuantiles } from '../../decisions';
 import type { AttemptOutcome } from '../attempt';
 import { RequestHedger } from '../request-hedger';
 
@@ -83,26 +83,26 @@
 
 describe('the latency quantile of a route', () => {
   it('is undefined until 32 calls were answered', () => {
-    const times = new UsualTimes(0.98);
-    for (let count = 0; count < 31; count += 1) times.note(ROUTE, 10);
-    expect(times.of(ROUTE)).toBeUndefined();
+    const times = new LatencyQuantiles(0.98);
+    for (let count = 0; count < 31; count += 1) times.record(ROUTE, 10);
+    expect(times.quantileOf(ROUTE)).toBeUndefined();
   });
 
   it('reflects the latest 128 responses', () => {
-    const times = new UsualTimes(0.98);
-    for (let count = 0; count < 128; count += 1) times.note(ROUTE, 10);
-    expect(times.of(ROUTE)).toBe(10);
-    for (let count = 0; count < 128; count += 1) times.note(ROUTE, 50);
-    expect(times.of(ROUTE)).toBe(50);
+    const times = new LatencyQuantiles(0.98);
+    for (let count = 0; count < 128; count += 1) times.record(ROUTE, 10);
+    expect(times.quantileOf(ROUTE)).toBe(10);
+    for (let count = 0; count < 128; count += 1) times.record(ROUTE, 50);
+    expect(times.quantileOf(ROUTE)).toBe(50);
   });
 });
 
 describe('the budget of hedged requests', () => {
   it('limits 1000 late calls to the initial budget and 5% of the calls', () => {
-    const budget = new SendBudget(0.05);
+    const budget = new HedgeBudget(0.05);
     let taken = 0;
     for (let count = 0; count < 1000; count += 1) {
-      budget.noteCall();
+      budget.recordCall();
       if (budget.take()) taken += 1;
     }
     expect(taken).toBeGreaterThan(50);
--- a/src/gateway/tests/turn-handler.test.ts
+++ b/src/gateway/tests/turn-handler.test.ts
@@ -1,6 +1,6 @@
 import { Metrics, SeededRandom } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import { ALL_DECISIONS, type Refusal } from '../../decisions';
+import { DEFAULT_DECISION_SWITCHES, type Refusal } from '../../decisions';
 import type { Route, RouteTable } from '../../routes';
 import { type TurnClient, TurnsUnavailable } from '../../turns';
 import type { Exchange } from '../exchange';
@@ -45,9 +45,9 @@
     preparer: new TurnPreparer({ turns, watch: { reachesQuorum }, clock }),
     quotaGate: WITHOUT_QUOTAS,
     turns,
-    chooser: { noteParts: () => undefined, loadOf: () => ({ load: 0, slots: 1 }) },
+    chooser: { recordParts: () => undefined, loadOf: () => ({ load: 0, slots: 1 }) },
     random: new SeededRandom(1),
-    switches: ALL_DECISIONS,
+    switches: DEFAULT_DECISION_SWITCHES,
     clock,
     metrics: new Metrics(),
   });
@@ -98,9 +98,9 @@
     preparer: new TurnPreparer({ turns, watch: { reachesQuorum: true }, clock }),
     quotaGate: WITHOUT_QUOTAS,
     turns,
-    chooser: { noteParts: () => undefined, loadOf: () => ({ load: 20, slots: 10 }) },
+    chooser: { recordParts: () => undefined, loadOf: () => ({ load: 20, slots: 10 }) },
     random: new SeededRandom(1),
-    switches: ALL_DECISIONS,
+    switches: DEFAULT_DECISION_SWITCHES,
     clock,
     metrics: new Metrics(),
   });
--- a/src/gateway/turn-handler.ts
+++ b/src/gateway/turn-handler.ts
@@ -25,7 +25,7 @@
   readonly preparer: TurnPreparer;
   readonly quotaGate: Pick<QuotaGate, 'requestAdmission'>;
   readonly turns: Pick<TurnClient, 'record'>;
-  readonly chooser: Pick<TargetChooser, 'noteParts' | 'loadOf'>;
+  readonly chooser: Pick<TargetChooser, 'recordParts' | 'loadOf'>;
   readonly switches: DecisionSwitches;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -176,7 +176,7 @@
     const tokens = output.count * (engine?.tokensPerEvent ?? 1);
     if (lastPlacement !== undefined) {
       const memoryTokens = engine?.cacheTokens ?? Infinity;
-      chooser.noteParts(lastPlacement.state, exchange.head.parts, tokens, memoryTokens);
+      chooser.recordParts(lastPlacement.state, exchange.head.parts, tokens, memoryTokens);
     }
     if (route.retentionSeconds === undefined) {
       preparer.settle(turn, tokens);
@@ -240,7 +240,7 @@
   const placement = placementOf(exchange);
   if (last === undefined) return placement;
   const heldTokens = Math.min(last.contextTokens, placement.promptTokens);
-  return { ...placement, lastTarget: last.target, heldTokens };
+  return { ...placement, lastTarget: last.target, cachedTokens: heldTokens };
 }
 
 function engineOf(
--- a/src/gateway/turn-preparer.ts
+++ b/src/gateway/turn-preparer.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../core';
-import { type Admission, type Learned, admitTurn, preparationTime } from '../decisions';
+import { type Admission, type StoreResult, admitTurn, preparationTimeout } from '../decisions';
 import type { Route, RouteTable } from '../routes';
 import {
   type ReserveOutcome,
@@ -58,7 +58,7 @@
     const { previous } = turn;
     const { head } = turn.exchange;
     const startedAt = clock.monotonic();
-    const preparationMilliseconds = preparationTime(watch.reachesQuorum);
+    const preparationMilliseconds = preparationTimeout(watch.reachesQuorum);
     const deadline = Math.min(startedAt + preparationMilliseconds, turn.exchange.deadline);
     const [reserved, chain] = await Promise.all([
       this.#catchUnavailable(() => this.#reserve(turn, deadline)),
@@ -115,7 +115,7 @@
 function toLearned<Result, Value>(
   result: Result | TurnsUnavailable,
   read: (result: Result) => Value,
-): Learned<Value> {
+): StoreResult<Value> {
   if (result instanceof TurnsUnavailable) return { kind: 'unavailable', reason: result.message };
   return { kind: 'known', value: read(result) };
 }
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { type ClusterClient, Confirmation } from '../cluster';
+import { type ClusterClient, LeaderConfirmation } from '../cluster';
 import {
   type Clock,
   type Issue,
@@ -9,7 +9,7 @@
   formatIssue,
   parseAddress,
 } from '../core';
-import { createPlacers } from '../decisions';
+import { createPlacementPolicies } from '../decisions';
 import {
   Forwarder,
   GatewayServer,
@@ -24,10 +24,10 @@
   LoadExchange,
   SharedTargetSource,
   TargetChooser,
-  TargetConnections,
+  TargetConnectionPool,
   TargetDirectory,
   type TargetSource,
-  UsualDurations,
+  DurationAverages,
 } from '../targets';
 import { ChainCache, StoreWatch, TurnClient } from '../turns';
 import { HttpEndpoint } from './http-endpoint';
@@ -86,20 +86,26 @@
   const keepsClusterState = settings.node['data-folder'] !== undefined;
   const self = parts.describe(keepsClusterState, '');
   const status = () => ({
-    configurationVersion: configuration.number,
-    viewEpoch: view.number,
+    configurationVersion: configuration.version,
+    viewEpoch: view.version,
     completeFor: 0,
   });
   let table: RouteTable | undefined;
-  const founding = parts.createFounding(self);
-  const keeper = keepsClusterState ? parts.createKeeper(self, founding) : undefined;
-  const confirmation = new Confirmation(clock);
-  const leads = () => keeper?.member.serves === true;
-  const greeter = parts.createGreeter(self, status, { confirmation, leads });
+  const bootstrap = parts.createFounding(self);
+  const replicaComponents = keepsClusterState ? parts.createKeeper(self, bootstrap) : undefined;
+  const confirmation = new LeaderConfirmation(clock);
+  const leads = () => replicaComponents?.replica.serves === true;
+  const heartbeatSender = parts.createGreeter(self, status, { confirmation, isLeader: leads });
   const quotaHolder = new QuotaAllocator({ teams: () => table?.teams, clock, logger });
-  const serviceParts = { status, greeter, founding, keeper, quotas: quotaHolder };
+  const serviceParts = {
+    status,
+    heartbeatSender,
+    bootstrap,
+    replicaComponents,
+    quotas: quotaHolder,
+  };
   const service = parts.createService(self, serviceParts);
-  const client = parts.createClient(self, greeter, service);
+  const client = parts.createClient(self, heartbeatSender, service);
 
   const source = new SharedTargetSource({
     self,
@@ -113,20 +119,20 @@
     metrics,
   });
   const targets = new TargetDirectory({ source, clock, random, logger });
-  const connections = new TargetConnections(logger, metrics);
-  targets.onLeaving((state) => {
-    connections.forget(state);
+  const connections = new TargetConnectionPool(logger, metrics);
+  targets.onDraining((state) => {
+    connections.closeIdle(state);
   });
   const loads = new LoadExchange({ self, directory, targets, peers, clock, logger });
   const { 'availability-zone': availabilityZone } = settings.node;
   const chooser = new TargetChooser({ targets, availabilityZone, clock, random });
-  const durations = new UsualDurations();
+  const durations = new DurationAverages();
   const teamOptions = { parts, self, client, confirmation, routes: () => table };
   const { keyGuard, quotas, quotaGate } = createTeamParts(teamOptions);
   const forwarder = new Forwarder({
     targets,
     chooser,
-    placers: createPlacers(switches),
+    placers: createPlacementPolicies(switches),
     sender: new Sender({
       ...{ wire: platform.wire, connections, durations, switches, clock, metrics },
     }),
@@ -178,14 +184,15 @@
   lifeCycle.add('peers', peers);
   lifeCycle.add('connections', connections);
   if (keepsClusterState) lifeCycle.add('known-state', parts.createKnownState());
-  if (keeper !== undefined) lifeCycle.add('cluster-state', keeper.member);
+  if (replicaComponents !== undefined) lifeCycle.add('cluster-state', replicaComponents.replica);
   lifeCycle.add(
     'listener',
     parts.createListener([service.calls, source.calls], [service.casts, loads.casts]),
   );
   lifeCycle.add('cluster-service', service);
-  lifeCycle.add('greeter', greeter);
-  if (keeper !== undefined) lifeCycle.add('view-keeper', keeper.viewKeeper);
+  lifeCycle.add('greeter', heartbeatSender);
+  if (replicaComponents !== undefined)
+    lifeCycle.add('view-keeper', replicaComponents.viewController);
   lifeCycle.add('store-watch', watch);
   lifeCycle.add('targets', targets);
   lifeCycle.add('quotas', quotas);
@@ -204,7 +211,7 @@
     lifeCycle,
     leave: async () => {
       leaving = true;
-      const handedOver = keeper?.member.handOver();
+      const handedOver = replicaComponents?.replica.transferLeadership();
       const total = settings.node['stop-seconds'] * 1000 - CLOSING_MILLISECONDS;
       const stay = Math.min(LEAVING_MILLISECONDS, total / 2);
       await delay(clock, stay);
--- a/src/nodes/node.ts
+++ b/src/nodes/node.ts
@@ -11,24 +11,24 @@
 } from '../core';
 import {
   ClusterClient,
-  ClusterMember,
+  ClusterReplica,
   ClusterService,
-  Founding,
-  Greeter,
-  type GreeterOptions,
-  type KeeperParts,
-  KnownState,
-  Newest,
+  ClusterBootstrap,
+  HeartbeatSender,
+  type HeartbeatSenderOptions,
+  type ReplicaComponents,
+  ClusterStateCache,
+  LatestValue,
   NodeDirectory,
   type NodeInfo,
   type NodeKind,
   type NodeStatus,
   type StoreView,
   type VersionedConfiguration,
-  ViewKeeper,
+  ViewController,
 } from '../cluster';
 import { LatencyHistograms } from '../core/latency';
-import { type CallHandlers, type CastHandlers, LinkListener, Peers } from '../link';
+import { type CallHandlers, type CastHandlers, RpcServer, PeerConnections } from '../rpc';
 import type { QuotaAllocator } from '../quotas';
 import { NodeFileSystem, QuarantiningStore, type RecordStore } from '../storage';
 import type { SystemContract } from './contract';
@@ -58,10 +58,10 @@
   readonly metrics = new Metrics(new LatencyHistograms());
   readonly logOutput: LogOutput;
   readonly logger: Logger;
-  readonly peers: Peers<SystemContract>;
+  readonly peers: PeerConnections<SystemContract>;
   readonly directory: NodeDirectory;
-  readonly configuration = new Newest<VersionedConfiguration>(({ version }) => version);
-  readonly view = new Newest<StoreView>(({ epoch }) => epoch);
+  readonly configuration = new LatestValue<VersionedConfiguration>(({ version }) => version);
+  readonly view = new LatestValue<StoreView>(({ epoch }) => epoch);
   readonly #options: NodePartsOptions;
 
   constructor(options: NodePartsOptions) {
@@ -77,7 +77,7 @@
       level: settings.node['log-level'],
       stream: this.logOutput.stream,
     });
-    this.peers = new Peers<SystemContract>({ clock, logger: this.logger });
+    this.peers = new PeerConnections<SystemContract>({ clock, logger: this.logger });
     this.directory = new NodeDirectory(clock);
   }
 
@@ -121,13 +121,13 @@
   createGreeter(
     self: NodeInfo,
     status: () => NodeStatus,
-    leadership?: Pick<GreeterOptions, 'confirmation' | 'leads'>,
-  ): Greeter {
-    return new Greeter({ ...this.#shared, self, status, seeds: this.seeds, ...leadership });
+    leadership?: Pick<HeartbeatSenderOptions, 'confirmation' | 'isLeader'>,
+  ): HeartbeatSender {
+    return new HeartbeatSender({ ...this.#shared, self, status, seeds: this.seeds, ...leadership });
   }
 
-  createFounding(self: NodeInfo): Founding {
-    return new Founding({
+  createFounding(self: NodeInfo): ClusterBootstrap {
+    return new ClusterBootstrap({
       ...this.#shared,
       self: self.name,
       address: self.address,
@@ -137,49 +137,54 @@
   }
 
   /** This host's copy of the cluster's state. */
-  createKeeper(self: NodeInfo, founding: Founding): KeeperParts {
+  createKeeper(self: NodeInfo, founding: ClusterBootstrap): ReplicaComponents {
     const toleratedLosses = this.settings.node['tolerated-losses'];
-    const member = new ClusterMember({
+    const member = new ClusterReplica({
       ...this.#shared,
       self,
       toleratedLosses,
-      founding,
+      bootstrap: founding,
       openStore: () => this.openStore('cluster'),
       random: this.random,
     });
-    const viewKeeper = new ViewKeeper({ ...this.#shared, member, toleratedLosses });
-    return { member, viewKeeper };
+    const viewKeeper = new ViewController({ ...this.#shared, replica: member, toleratedLosses });
+    return { replica: member, viewController: viewKeeper };
   }
 
   /** What this host knew before it was started again; it must have a disk. */
-  createKnownState(): KnownState {
-    return new KnownState({ ...this.#shared, store: this.openStore('known') });
+  createKnownState(): ClusterStateCache {
+    return new ClusterStateCache({ ...this.#shared, store: this.openStore('known') });
   }
 
   createService(
     self: NodeInfo,
     parts: {
       readonly status: () => NodeStatus;
-      readonly greeter: Greeter;
-      readonly founding: Founding;
-      readonly keeper: KeeperParts | undefined;
+      readonly heartbeatSender: HeartbeatSender;
+      readonly bootstrap: ClusterBootstrap;
+      readonly replicaComponents: ReplicaComponents | undefined;
       readonly quotas?: QuotaAllocator;
     },
   ): ClusterService {
     return new ClusterService({ ...this.#shared, self, ...parts });
   }
 
-  createClient(self: NodeInfo, greeter: Greeter, service: ClusterService): ClusterClient {
-    const { local } = service;
-    return new ClusterClient({ ...this.#shared, selfAddress: self.address, greeter, local });
+  createClient(self: NodeInfo, greeter: HeartbeatSender, service: ClusterService): ClusterClient {
+    const { localLeaderCalls: local } = service;
+    return new ClusterClient({
+      ...this.#shared,
+      selfAddress: self.address,
+      heartbeatSender: greeter,
+      localLeaderCalls: local,
+    });
   }
 
   createListener(
     calls: readonly CallHandlers<SystemContract>[],
     casts: readonly CastHandlers<SystemContract>[],
-  ): LinkListener<SystemContract> {
+  ): RpcServer<SystemContract> {
     const address = parseAddress(this.settings.node.address);
-    return new LinkListener<SystemContract>({ address, logger: this.logger, calls, casts });
+    return new RpcServer<SystemContract>({ address, logger: this.logger, calls, casts });
   }
 
   addMetrics(lifeCycle: LifeCycle): void {
--- a/src/nodes/store-node.ts
+++ b/src/nodes/store-node.ts
@@ -18,13 +18,18 @@
   const filler = new Filler({ self: self.name, journal, peers, clock, random, logger });
   const store = new TurnStore({ self: self.name, journal, filler, view, clock, logger, metrics });
   const status = () => ({
-    configurationVersion: configuration.number,
-    viewEpoch: view.number,
+    configurationVersion: configuration.version,
+    viewEpoch: view.version,
     completeFor: journal.completeFor,
   });
   const greeter = parts.createGreeter(self, status);
   const founding = parts.createFounding(self);
-  const service = parts.createService(self, { status, greeter, founding, keeper: undefined });
+  const service = parts.createService(self, {
+    status,
+    heartbeatSender: greeter,
+    bootstrap: founding,
+    replicaComponents: undefined,
+  });
   metrics.gauge('turns', () => journal.table.turnCount);
   const lifeCycle = new LifeCycle();
   lifeCycle.add('log', parts.logOutput);
--- a/src/nodes/team-parts.ts
+++ b/src/nodes/team-parts.ts
@@ -1,4 +1,4 @@
-import type { ClusterClient, Confirmation, NodeInfo } from '../cluster';
+import type { ClusterClient, LeaderConfirmation, NodeInfo } from '../cluster';
 import { KeyGuard, QuotaGate } from '../gateway';
 import { QuotaClient } from '../quotas';
 import type { RouteTable } from '../routes';
@@ -8,7 +8,7 @@
   readonly parts: NodeParts;
   readonly self: NodeInfo;
   readonly client: ClusterClient;
-  readonly confirmation: Confirmation;
+  readonly confirmation: LeaderConfirmation;
   /** The newest routes that this process can read. */
   readonly routes: () => RouteTable | undefined;
 }
@@ -25,14 +25,14 @@
   const { clock, logger, metrics, random, settings, configuration } = parts;
   const keyGuard = new KeyGuard({
     routes,
-    newestVersion: () => configuration.number,
+    newestVersion: () => configuration.version,
     confirmation,
     removalMilliseconds: settings.teams['key-removal-milliseconds'],
     metrics,
   });
   const quotas = new QuotaClient({
     run: self.run,
-    ask: (report) => client.takeQuotas(report),
+    ask: (report) => client.requestQuotas(report),
     clock,
     logger,
   });
--- a/src/replication/compactor.ts
+++ b/src/replication/compactor.ts
@@ -1,8 +1,8 @@
 import type { RecordStore } from '../storage';
-import type { StateMachine } from './log-options';
+import type { StateMachine } from './replicated-log-options';
 import type { LogEntry } from './messages';
-import type { SnapshotMetadata } from './member-log';
-import type { RaftMember } from './raft';
+import type { SnapshotMetadata } from './raft-log';
+import type { RaftMember } from './raft-member';
 import { encodeSnapshot, encodeRecordsAfterSnapshot } from './records';
 
 export interface CompactorOptions {
--- a/src/replication/ballot.ts
+++ b/src/replication/election-state.ts
@@ -1,4 +1,4 @@
-import type { LogPosition } from './entries';
+import type { LogPosition } from './entry-list';
 import { type Membership, quorumOf } from './membership';
 import type { HardState, VoteAnswer, VoteRequest } from './messages';
 import type { Outbox } from './outbox';
--- a/src/replication/index.ts
+++ b/src/replication/index.ts
@@ -4,17 +4,17 @@
   type LogEntry,
   type RaftMessage,
   envelopeSchema,
-  hostOf,
+  destinationHostOf,
   raftMessageSchema,
 } from './messages';
-export { type Membership, allMembers, nameOf } from './membership';
+export { type Membership, allMembers, hostNameOf } from './membership';
 export type { RaftOutput } from './outbox';
-export { RaftMember } from './raft';
+export { RaftMember } from './raft-member';
 export type { RaftOptions, RaftRole } from './raft-options';
 export type {
   LogView,
   ReplicatedLogOptions,
   ReplicationTransport,
   StateMachine,
-} from './log-options';
+} from './replicated-log-options';
 export { ReplicatedLog } from './replicated-log';
--- a/src/replication/membership-plan.ts
+++ b/src/replication/membership-plan.ts
@@ -1,4 +1,4 @@
-import { type Membership, allMembers, nameOf } from './membership';
+import { type Membership, allMembers, hostNameOf } from './membership';
 import type { PeerProgress } from './progress';
 
 /** A leader's knowledge of the members; times are monotonic, in milliseconds. */
@@ -53,7 +53,7 @@
 function removeReplaced(input: MembershipPlanInput): MembershipStep | undefined {
   const replaced = allMembers(input.membership).find(
     (member) =>
-      input.joiningIdentities.some((joining) => nameOf(joining) === nameOf(member)) &&
+      input.joiningIdentities.some((joining) => hostNameOf(joining) === hostNameOf(member)) &&
       isUnresponsive(input, member),
   );
   if (replaced === undefined || replaced === input.self) return undefined;
@@ -65,9 +65,9 @@
 
 function addLearner(input: MembershipPlanInput): MembershipStep | undefined {
   const { membership, hosts, joiningIdentities } = input;
-  const names = allMembers(membership).map(nameOf);
+  const names = allMembers(membership).map(hostNameOf);
   const joining = joiningIdentities.find(
-    (identity) => hosts.includes(nameOf(identity)) && !names.includes(nameOf(identity)),
+    (identity) => hosts.includes(hostNameOf(identity)) && !names.includes(hostNameOf(identity)),
   );
   if (joining === undefined) return undefined;
   const learners = [...membership.learners, joining];
@@ -76,15 +76,15 @@
 
 function removeUnlisted(input: MembershipPlanInput): MembershipStep | undefined {
   const { membership, hosts, self } = input;
-  const names = membership.voters.map(nameOf);
+  const names = membership.voters.map(hostNameOf);
   const allListedHostsVote = hosts.every((host) => names.includes(host));
-  const leaving = allMembers(membership).filter((member) => !hosts.includes(nameOf(member)));
+  const leaving = allMembers(membership).filter((member) => !hosts.includes(hostNameOf(member)));
   const [first] = leaving.filter((member) => member !== self);
   if (!allListedHostsVote || leaving.length === 0) return undefined;
   if (first === undefined) return { kind: 'transfer-leadership' };
   return changeTo(
     withoutMember(membership, first),
-    `removing ${nameOf(first)}: the host is no longer listed`,
+    `removing ${hostNameOf(first)}: the host is no longer listed`,
   );
 }
 
--- a/src/replication/membership-keeper.ts
+++ b/src/replication/membership-reconciler.ts
@@ -1,8 +1,8 @@
-import { RecentHellos } from './greetings';
-import { type Membership, allMembers, nameOf } from './membership';
+import { RecentHellos } from './recent-hellos';
+import { type Membership, allMembers, hostNameOf } from './membership';
 import { planMembership } from './membership-plan';
 import type { Envelope, Hello } from './messages';
-import type { RaftMember } from './raft';
+import type { RaftMember } from './raft-member';
 
 export interface MembershipReconcilerOptions {
   /** Name of this host. */
@@ -63,9 +63,9 @@
   #transferToPreferredHost(member: RaftMember, now: number): void {
     const [first = ''] = this.#options.hosts();
     const hasLedLongEnough = now - member.leaderSince >= PREFERRED_LEADER_DELAY_MILLISECONDS;
-    if (!member.ready || !hasLedLongEnough || nameOf(this.#options.identity) === first) return;
+    if (!member.ready || !hasLedLongEnough || hostNameOf(this.#options.identity) === first) return;
     const unresponsive = this.unresponsiveMembers(member, now);
-    const preferred = member.membership.voters.find((voter) => nameOf(voter) === first);
+    const preferred = member.membership.voters.find((voter) => hostNameOf(voter) === first);
     if (preferred === undefined || unresponsive.includes(preferred)) return;
     member.transferLeadership(now, preferred);
   }
--- a/src/replication/membership.ts
+++ b/src/replication/membership.ts
@@ -21,7 +21,7 @@
   return `${name}/${incarnation}`;
 }
 
-export function nameOf(identity: string): string {
+export function hostNameOf(identity: string): string {
   return identity.slice(0, identity.indexOf('/'));
 }
 
--- a/src/replication/messages.ts
+++ b/src/replication/messages.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod';
-import { membershipSchema, nameOf } from './membership';
+import { membershipSchema, hostNameOf } from './membership';
 
 const index = z.int().nonnegative();
 const term = z.int().nonnegative();
@@ -130,8 +130,8 @@
   readonly message: RaftMessage;
 }
 
-export function hostOf({ to }: Envelope): string {
-  return to.includes('/') ? nameOf(to) : to;
+export function destinationHostOf({ to }: Envelope): string {
+  return to.includes('/') ? hostNameOf(to) : to;
 }
 
 /** The durable state of a member apart from its log. */
--- a/src/replication/member-log.ts
+++ b/src/replication/raft-log.ts
@@ -1,4 +1,4 @@
-import { EntryList, LOG_START, type LogPosition } from './entries';
+import { EntryList, LOG_START, type LogPosition } from './entry-list';
 import { type Membership, MembershipHistory, NO_MEMBERS } from './membership';
 import type { AppendRequest, LogEntry } from './messages';
 import type { Outbox } from './outbox';
--- a/src/replication/raft.ts
+++ b/src/replication/raft-member.ts
@@ -1,6 +1,6 @@
-import { ElectionState, type CampaignKind } from './ballot';
+import { ElectionState, type CampaignKind } from './election-state';
 import { ElectionTimer } from './election-timer';
-import { RaftLog, type CompactableLog } from './member-log';
+import { RaftLog, type CompactableLog } from './raft-log';
 import type { Membership } from './membership';
 import { Outbox, type RaftOutput } from './outbox';
 import type { PeerProgress } from './progress';
--- a/src/replication/raft-options.ts
+++ b/src/replication/raft-options.ts
@@ -1,5 +1,5 @@
 import type { RandomSource } from '../core';
-import type { RaftLogOptions } from './member-log';
+import type { RaftLogOptions } from './raft-log';
 import type { HardState } from './messages';
 
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
--- a/src/replication/greetings.ts
+++ b/src/replication/recent-hellos.ts
@@ -1,5 +1,5 @@
 import type { Hello } from './messages';
-import { type Membership, allMembers, nameOf } from './membership';
+import { type Membership, allMembers, hostNameOf } from './membership';
 
 const HELLO_VALIDITY_MILLISECONDS = 2000;
 
@@ -14,7 +14,7 @@
   readonly #receivedByHost = new Map<string, ReceivedHello>();
 
   record(hello: Hello, now: number): void {
-    this.#receivedByHost.set(nameOf(hello.from), { hello, receivedAt: now });
+    this.#receivedByHost.set(hostNameOf(hello.from), { hello, receivedAt: now });
   }
 
   /** Identities outside the membership that have sent a recent hello. */
@@ -35,12 +35,12 @@
       (hello) => hello.isNew && hello.hosts.join() === own.hosts.join(),
     );
     const identities = names.map((name) =>
-      name === nameOf(own.from)
+      name === hostNameOf(own.from)
         ? own.from
-        : others.find((hello) => nameOf(hello.from) === name)?.from,
+        : others.find((hello) => hostNameOf(hello.from) === name)?.from,
     );
     const voters = identities.filter((identity) => identity !== undefined);
-    if (!own.isNew || names[0] !== nameOf(own.from) || voters.length < names.length)
+    if (!own.isNew || names[0] !== hostNameOf(own.from) || voters.length < names.length)
       return undefined;
     return { voters, learners: [] };
   }
--- a/src/replication/records.ts
+++ b/src/replication/records.ts
@@ -1,10 +1,10 @@
 import * as z from 'zod';
 import type { RecordStore, StoredRecords } from '../storage';
-import { LOG_START, type LogPosition } from './entries';
+import { LOG_START, type LogPosition } from './entry-list';
 import { type Membership, NO_MEMBERS, membershipSchema } from './membership';
 import { type HardState, type LogEntry, logEntrySchema } from './messages';
 import type { RaftOutput } from './outbox';
-import type { SnapshotMetadata } from './member-log';
+import type { SnapshotMetadata } from './raft-log';
 
 /** Records of a member in its record store, in the order of the changes. */
 const recordSchema = z.discriminatedUnion('kind', [
--- a/src/replication/log-options.ts
+++ b/src/replication/replicated-log-options.ts
@@ -18,7 +18,7 @@
   /** Replaces the state by the rows of a snapshot. */
   restore(rows: readonly string[]): void;
   /** Rows of a snapshot for another host; defaults to {@link snapshot}. */
-  transfer?(): AsyncIterable<string>;
+  snapshotForTransfer?(): AsyncIterable<string>;
   /**
    * Syncs external content that the rows of a snapshot refer to; resolves with an action to run
    * once that snapshot is stored.
@@ -63,7 +63,7 @@
   readonly leader: string | undefined;
   readonly membership: Membership;
   /** Identities of members that have not answered this leader recently. */
-  readonly silentMembers: readonly string[];
+  readonly unresponsiveMembers: readonly string[];
   readonly appliedIndex: number;
   /** Whether this member leads and its state includes every acknowledged command. */
   readonly serves: boolean;
--- a/src/replication/replicated-log.ts
+++ b/src/replication/replicated-log.ts
@@ -1,14 +1,14 @@
 import { type CancelTimer, type Component, repeat } from '../core';
 import { ReplicationError } from './errors';
 import { Compactor } from './compactor';
-import { transferLeadershipWithRetry } from './hand-over';
+import { transferLeadershipWithRetry } from './leadership-transfer';
 import { type Membership, identityOf } from './membership';
-import { MembershipReconciler } from './membership-keeper';
-import type { LogView, ReplicatedLogOptions } from './log-options';
+import { MembershipReconciler } from './membership-reconciler';
+import type { LogView, ReplicatedLogOptions } from './replicated-log-options';
 import type { Envelope, LogEntry, RaftMessage, SnapshotPart } from './messages';
 import { OutputWriter } from './output-writer';
-import { PendingProposals } from './proposals';
-import { RaftMember } from './raft';
+import { PendingProposals } from './pending-proposals';
+import { RaftMember } from './raft-member';
 import { type StoredMember, loadMember } from './records';
 import { SnapshotExchange } from './snapshot-exchange';
 import { type ReceivedSnapshot, buildInstalledAnswer } from './snapshot-transfer';
@@ -111,7 +111,7 @@
 
   /** Transfers leadership, waits for pending writes and closes the store. */
   async stop(): Promise<void> {
-    await this.handOver();
+    await this.transferLeadership();
     this.#cancelTick();
     this.#failed = true;
     this.#outputWriter.stop();
@@ -152,7 +152,7 @@
   }
 
   /** Identities of members that have not answered this leader recently. */
-  get silentMembers(): readonly string[] {
+  get unresponsiveMembers(): readonly string[] {
     const now = this.#options.clock.monotonic();
     return this.#started.membershipReconciler.unresponsiveMembers(this.#member, now);
   }
@@ -306,7 +306,7 @@
   #sendSnapshot(peer: string): void {
     const { machine, clock } = this.#options;
     const metadata = this.#member.log.snapshotMetadataAt(this.#appliedIndex);
-    const rows = machine.transfer?.() ?? machine.snapshot();
+    const rows = machine.snapshotForTransfer?.() ?? machine.snapshot();
     this.#started.snapshotExchange.startSending(peer, this.term, metadata, rows, clock.monotonic());
   }
 
@@ -336,7 +336,7 @@
   }
 
   /** Transfers leadership before a planned stop; does nothing on later calls or if not the leader. */
-  handOver(): Promise<void> {
+  transferLeadership(): Promise<void> {
     this.#leadershipTransfer ??= this.role === 'leader' ? this.#runTransfer() : Promise.resolve();
     return this.#leadershipTransfer;
   }
--- a/src/replication/replicator.ts
+++ b/src/replication/replicator.ts
@@ -1,4 +1,4 @@
-import type { RaftLog } from './member-log';
+import type { RaftLog } from './raft-log';
 import type { AppendAnswer, SnapshotAnswer } from './messages';
 import type { Outbox } from './outbox';
 import { type PeerProgress, ProgressTable } from './progress';
--- a/src/replication/snapshot-exchange.ts
+++ b/src/replication/snapshot-exchange.ts
@@ -1,5 +1,5 @@
 import type { Envelope, SnapshotAnswer, SnapshotPart } from './messages';
-import type { SnapshotMetadata } from './member-log';
+import type { SnapshotMetadata } from './raft-log';
 import { type ReceivedSnapshot, SnapshotReceiver, SnapshotSender } from './snapshot-transfer';
 
 /** Time after which an unanswered part is sent again. */
--- a/src/replication/snapshot-transfer.ts
+++ b/src/replication/snapshot-transfer.ts
@@ -1,5 +1,5 @@
 import type { RaftEnvelope, SnapshotAnswer, SnapshotPart } from './messages';
-import type { SnapshotMetadata } from './member-log';
+import type { SnapshotMetadata } from './raft-log';
 
 /** Minimum number of characters in a part other than the last one. */
 const MINIMUM_PART_CHARACTERS = 512 * 1024;
--- a/src/replication/tests/membership.test.ts
+++ b/src/replication/tests/membership.test.ts
@@ -1,9 +1,9 @@
 import { SeededRandom } from '../../core';
-import { RecentHellos } from '../greetings';
+import { RecentHellos } from '../recent-hellos';
 import { type MembershipPlanInput, planMembership } from '../membership-plan';
 import type { Membership } from '../membership';
 import type { Hello, LogEntry, RaftMessage } from '../messages';
-import { RaftMember } from '../raft';
+import { RaftMember } from '../raft-member';
 
 const THREE_VOTERS: Membership = { voters: ['a/1', 'b/1', 'c/1'], learners: [] };
 const NOW = 10_000;
--- a/src/replication/tests/members.test.ts
+++ b/src/replication/tests/raft-member-simulation.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check';
-import { RaftMemberSimulation } from './member-cluster';
+import { RaftMemberSimulation } from './raft-member-simulation';
 
 const STEPS = 1200;
 
--- a/src/replication/tests/member-cluster.ts
+++ b/src/replication/tests/raft-member-simulation.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../../core';
 import type { HardState, LogEntry, RaftEnvelope } from '../messages';
-import { RaftMember } from '../raft';
-import { UnreliableNetwork } from './messy-network';
+import { RaftMember } from '../raft-member';
+import { UnreliableNetwork } from './unreliable-network';
 
 interface Disk {
   hardState: HardState;
--- a/src/replication/tests/rules.test.ts
+++ b/src/replication/tests/raft-member.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '../../core';
 import type { LogEntry, RaftMessage } from '../messages';
-import { RaftMember } from '../raft';
+import { RaftMember } from '../raft-member';
 
 const ELECTION_MILLISECONDS = 500;
 
--- a/src/replication/tests/raft.test.ts
+++ b/src/replication/tests/replicated-log-simulation.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check';
-import { ReplicatedLogSimulation, type SimulationReport } from './cluster';
+import { ReplicatedLogSimulation, type SimulationReport } from './replicated-log-simulation';
 
 const STEPS = 1500;
 
--- a/src/replication/tests/cluster.ts
+++ b/src/replication/tests/replicated-log-simulation.ts
@@ -2,9 +2,9 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
 import { MemoryDisk } from '../../storage/tests/disk';
-import { type Envelope, ReplicatedLog, hostOf, nameOf } from '..';
+import { type Envelope, ReplicatedLog, destinationHostOf, hostNameOf } from '..';
 import { ListMachine } from './list-machine';
-import { UnreliableNetwork } from './messy-network';
+import { UnreliableNetwork } from './unreliable-network';
 
 interface Host {
   readonly name: string;
@@ -179,8 +179,8 @@
   }
 
   #deliver(envelope: Envelope): void {
-    const to = hostOf(envelope);
-    if (this.#blockedLinks.has(`${nameOf(envelope.message.from)}>${to}`)) return;
+    const to = destinationHostOf(envelope);
+    if (this.#blockedLinks.has(`${hostNameOf(envelope.message.from)}>${to}`)) return;
     const host = this.#hosts.find((entry) => entry.name === to);
     if (host?.alive === true && !host.paused) host.log.receive([envelope]);
   }
@@ -287,7 +287,7 @@
       this.#violations.push('no leader serves after all faults ended');
       return;
     }
-    const voters = leader.log.membership.voters.map(nameOf).sort();
+    const voters = leader.log.membership.voters.map(hostNameOf).sort();
     if (voters.join() !== [...this.#listedHosts].sort().join()) {
       this.#violations.push(
         `final voters: ${voters.join()}; listed hosts: ${this.#listedHosts.join()}`,
--- a/src/routing/affinity.ts
+++ b/src/routing/affinity.ts
@@ -41,7 +41,7 @@
     const isCached = candidate.target === request.lastTarget;
     const tokens = request.newTokens + (isCached ? 0 : request.contextTokens);
     const parts = {
-      network: candidate.distanceMilliseconds * 2,
+      network: candidate.networkLatencyMilliseconds * 2,
       queue: outstandingCalls(candidate) * this.#queueMillisecondsPerCall,
       prefill: Math.round(tokens * this.#prefillMillisecondsPerToken * 1000) / 1000,
     };
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -16,7 +16,7 @@
 
 export type RoutingPolicyName = 'round-robin' | 'least-load' | 'affinity';
 
-export function createPolicy(name: RoutingPolicyName): RoutingPolicy {
+export function createRoutingPolicy(name: RoutingPolicyName): RoutingPolicy {
   switch (name) {
     case 'round-robin':
       return new RoundRobinPolicy();
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -7,7 +7,7 @@
   /** Outstanding calls from this entry process to the target. */
   readonly ownCalls: number;
   /** One-way network latency from this entry process. */
-  readonly distanceMilliseconds: number;
+  readonly networkLatencyMilliseconds: number;
 }
 
 export interface RoutingRequest {
--- a/src/link/contract.ts
+++ b/src/rpc/contract.ts
@@ -1,25 +1,25 @@
 /** Messages of an RPC service: calls have a response, casts are one-way. */
-export interface Contract {
+export interface RpcContract {
   readonly calls: Readonly<Record<string, { readonly request: unknown; readonly answer: unknown }>>;
   readonly casts: Readonly<Record<string, unknown>>;
 }
 
-export type CallName<C extends Contract> = keyof C['calls'] & string;
-export type CastName<C extends Contract> = keyof C['casts'] & string;
+export type CallName<C extends RpcContract> = keyof C['calls'] & string;
+export type CastName<C extends RpcContract> = keyof C['casts'] & string;
 
 /** Handlers of calls; the message of a rejection is returned to the calling process. */
-export type CallHandlers<C extends Contract> = {
+export type CallHandlers<C extends RpcContract> = {
   readonly [Name in CallName<C>]?: (
     request: C['calls'][Name]['request'],
   ) => C['calls'][Name]['answer'] | Promise<C['calls'][Name]['answer']>;
 };
 
-export type CastHandlers<C extends Contract> = {
+export type CastHandlers<C extends RpcContract> = {
   readonly [Name in CastName<C>]?: (body: C['casts'][Name]) => void;
 };
 
 /** Client for calls and casts to other processes by address (IP:port). */
-export interface Caller<C extends Contract> {
+export interface RpcClient<C extends RpcContract> {
   /** Rejects with an RpcError, after `milliseconds` at the latest. */
   call<Name extends CallName<C>>(
     address: string,
--- /dev/null
+++ b/src/rpc/index.ts
@@ -0,0 +1,12 @@
+export type {
+  CallHandlers,
+  CallName,
+  RpcClient,
+  CastHandlers,
+  CastName,
+  RpcContract,
+} from './contract';
+export { RpcError, type RpcFailure } from './errors';
+export { type Frame, FrameDecoder, encodeFrame } from './frame';
+export { RpcServer, type RpcServerOptions } from './server';
+export { PeerConnections, type PeerConnectionsOptions } from './peer-connections';
--- a/src/link/peers.ts
+++ b/src/rpc/peer-connections.ts
@@ -1,6 +1,6 @@
 import { type Clock, type Component, type Logger, parseAddress } from '../core';
-import type { CallName, Caller, CastName, Contract } from './contract';
-import { PeerConnection } from './peer';
+import type { CallName, RpcClient, CastName, RpcContract } from './contract';
+import { PeerConnection } from './peer-connection';
 
 export interface PeerConnectionsOptions {
   readonly clock: Clock;
@@ -8,7 +8,7 @@
 }
 
 /** Connections of this process to others, by address; opened by the first call or cast. */
-export class Peers<C extends Contract> implements Component, Caller<C> {
+export class PeerConnections<C extends RpcContract> implements Component, RpcClient<C> {
   readonly #options: PeerConnectionsOptions;
   readonly #connections = new Map<string, PeerConnection>();
 
--- a/src/link/listener.ts
+++ b/src/rpc/server.ts
@@ -1,10 +1,10 @@
 import { type Server, type Socket, createServer } from 'node:net';
 import { type Address, type Component, type Logger, messageOf } from '../core';
-import type { CallHandlers, CastHandlers, Contract } from './contract';
+import type { CallHandlers, CastHandlers, RpcContract } from './contract';
 import { type Frame, FrameDecoder, writeFrame } from './frame';
-import { KEEPALIVE_METHOD } from './peer';
+import { KEEPALIVE_METHOD } from './peer-connection';
 
-export interface RpcServerOptions<C extends Contract> {
+export interface RpcServerOptions<C extends RpcContract> {
   readonly address: Address;
   readonly logger: Logger;
   readonly calls: readonly CallHandlers<C>[];
@@ -15,7 +15,7 @@
 type UntypedCastHandler = (body: unknown) => void;
 
 /** Accepts connections of other processes and dispatches their calls and casts. */
-export class LinkListener<C extends Contract> implements Component {
+export class RpcServer<C extends RpcContract> implements Component {
   readonly #options: RpcServerOptions<C>;
   readonly #calls: ReadonlyMap<string, UntypedCallHandler>;
   readonly #casts: ReadonlyMap<string, UntypedCastHandler>;
--- a/src/link/tests/link.test.ts
+++ b/src/rpc/tests/rpc.test.ts
@@ -2,7 +2,7 @@
 import { type Address, SystemClock, createSilentLogger, formatAddress } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { findFreeAddresses } from '../../local';
-import { FrameDecoder, LinkListener, Peers, encodeFrame } from '..';
+import { FrameDecoder, RpcServer, PeerConnections, encodeFrame } from '..';
 
 interface TestContract {
   readonly calls: {
@@ -15,7 +15,7 @@
 const LOGGER = createSilentLogger();
 
 async function startRpcServer(address: Address, note: (text: string) => void) {
-  const rpcServer = new LinkListener<TestContract>({
+  const rpcServer = new RpcServer<TestContract>({
     address,
     logger: LOGGER,
     calls: [
@@ -35,8 +35,8 @@
 
 describe('RPC between processes', () => {
   let address: Address;
-  let rpcServer: LinkListener<TestContract>;
-  let peers: Peers<TestContract>;
+  let rpcServer: RpcServer<TestContract>;
+  let peers: PeerConnections<TestContract>;
   let onNote: (text: string) => void = () => undefined;
 
   beforeEach(async () => {
@@ -46,7 +46,7 @@
     rpcServer = await startRpcServer(address, (text) => {
       onNote(text);
     });
-    peers = new Peers<TestContract>({ clock: new SystemClock(), logger: LOGGER });
+    peers = new PeerConnections<TestContract>({ clock: new SystemClock(), logger: LOGGER });
   });
 
   afterEach(async () => {
@@ -75,7 +75,7 @@
 
     it('rejects with `lost` at its timeout', async () => {
       const clock = new ManualClock();
-      const client = new Peers<TestContract>({ clock, logger: LOGGER });
+      const client = new PeerConnections<TestContract>({ clock, logger: LOGGER });
       const call = client.call(formatAddress(address), 'never', null, 300);
       clock.advance(300);
       await expect(call).rejects.toMatchObject({ failure: 'lost' });
@@ -120,7 +120,7 @@
       const [free] = await findFreeAddresses(['127.0.0.1']);
       if (free === undefined) throw new Error('findFreeAddresses returned no address');
       await new Promise<void>((resolve) => server.listen(free.port, free.host, resolve));
-      const keepaliveClient = new Peers<TestContract>({ clock, logger: LOGGER });
+      const keepaliveClient = new PeerConnections<TestContract>({ clock, logger: LOGGER });
       await keepaliveClient.call(formatAddress(free), 'double', 1, 5000);
       clock.advance(400);
       await keepaliveClient.call(formatAddress(free), 'double', 1, 5000);
--- a/src/state/machine.ts
+++ b/src/state/machine.ts
@@ -48,7 +48,7 @@
     return snapshotTables(this.#tables, this.#contents);
   }
 
-  transfer(): AsyncIterable<string> {
+  snapshotForTransfer(): AsyncIterable<string> {
     return transferTables(this.#tables, this.#contents);
   }
 
--- a/src/state/tests/snapshot.test.ts
+++ b/src/state/tests/snapshot.test.ts
@@ -29,7 +29,7 @@
 
   it('for another host brings everything, with the contents', async () => {
     const rows: string[] = [];
-    for await (const row of state.machine.transfer()) rows.push(row);
+    for await (const row of state.machine.snapshotForTransfer()) rows.push(row);
     const contents = new MemoryContents();
     const copy = new ProgramStateMachine(contents);
     copy.restore(rows);
@@ -39,7 +39,7 @@
   });
 
   it('shows the state as it was taken, whatever happens before it is read', async () => {
-    const transfer = state.machine.transfer();
+    const transfer = state.machine.snapshotForTransfer();
     const before = { ...valueOf(state.machine), programs: new Map(state.machine.tables.programs) };
     const input = { program: 'p-1', reason: 'deleted' } as const;
     state.apply({ kind: 'end-program', at: state.now, input });
@@ -57,7 +57,7 @@
     await contents.open();
     const machine = new ProgramStateMachine(contents);
     const rows: string[] = [];
-    for await (const row of state.machine.transfer()) rows.push(row);
+    for await (const row of state.machine.snapshotForTransfer()) rows.push(row);
     machine.restore(rows);
     await machine.flush();
     const local = [...machine.snapshot()];
--- a/src/targets/chooser.ts
+++ b/src/targets/chooser.ts
@@ -1,7 +1,7 @@
 import type { Clock, RandomSource } from '../core';
-import type { EngineLoad, PlacementCandidate, Placer } from '../decisions';
+import type { EngineLoad, PlacementCandidate, PlacementPolicy } from '../decisions';
 import type { TargetDirectory } from './directory';
-import { PrefixCacheIndex } from './part-holders';
+import { PrefixCacheIndex } from './prefix-cache-index';
 import type { TargetState } from './state';
 import type { PromptPart } from './target';
 
@@ -11,7 +11,7 @@
   /** Engine of the previous turn of the conversation. */
   readonly lastTarget: string | undefined;
   /** Prompt tokens in the cache of `lastTarget`. */
-  readonly heldTokens: number;
+  readonly cachedTokens: number;
 }
 
 /** A selected target, with the inputs of the decision for the log. */
@@ -29,7 +29,7 @@
 
 export interface ChoiceRequest {
   readonly service: string;
-  readonly placer: Placer;
+  readonly policy: PlacementPolicy;
   readonly placement: PlacementRequest;
   /** Ids of the targets of earlier attempts, which are not selected again. */
   readonly tried: ReadonlySet<string>;
@@ -56,11 +56,11 @@
   /** Returns undefined if no target is available. */
   choose(request: ChoiceRequest): Placement | undefined {
     const { availabilityZone, clock, random, targets } = this.#options;
-    const { parts, promptTokens, lastTarget, heldTokens } = request.placement;
+    const { parts, promptTokens, lastTarget, cachedTokens: heldTokens } = request.placement;
     const now = clock.monotonic();
     const candidates: PlacementCandidate[] = [];
     for (const state of this.#candidates(request)) candidates.push(state.candidateAt(now, parts));
-    const decision = request.placer.place(
+    const decision = request.policy.place(
       {
         availabilityZone,
         promptTokens,
@@ -89,13 +89,13 @@
   }
 
   /** Records the prompt parts and generated tokens that an engine has added to its cache. */
-  noteParts(
+  recordParts(
     state: TargetState,
     parts: readonly PromptPart[],
     generatedTokens: number,
     cacheCapacityTokens: number,
   ): void {
-    state.noteParts(parts, generatedTokens, cacheCapacityTokens);
+    state.recordParts(parts, generatedTokens, cacheCapacityTokens);
     const [first] = parts;
     if (first !== undefined) this.#prefixCaches.record(first.id, state.target.id);
   }
--- a/src/targets/connections.ts
+++ b/src/targets/connection-pool.ts
@@ -27,7 +27,7 @@
 }
 
 /** Pool of idle connections to targets. */
-export class TargetConnections implements Component {
+export class TargetConnectionPool implements Component {
   readonly #logger: Logger;
   readonly #metrics: Metrics;
   readonly #idle = new Map<string, Client[]>();
@@ -63,7 +63,7 @@
   }
 
   /** Closes the idle connections of a draining or removed target. */
-  forget({ target }: TargetState): void {
+  closeIdle({ target }: TargetState): void {
     const key = `${target.id} ${target.address}`;
     for (const client of this.#idle.get(key) ?? []) this.#close(client);
     this.#idle.delete(key);
--- a/src/targets/coordinator.ts
+++ b/src/targets/coordinator.ts
@@ -1,10 +1,10 @@
 import type { NodeDirectory, NodeInfo } from '../cluster';
-import type { Caller, Contract } from '../link';
+import type { RpcClient, RpcContract } from '../rpc';
 
 export interface CoordinatorOptions {
   readonly self: NodeInfo;
   readonly directory: Pick<NodeDirectory, 'ofKind'>;
-  readonly peers: Pick<Caller<Contract>, 'isConnected'>;
+  readonly peers: Pick<RpcClient<RpcContract>, 'isConnected'>;
   /** Names of gateways that are not eligible. */
   readonly excluded?: ReadonlySet<string>;
 }
--- a/src/targets/directory.ts
+++ b/src/targets/directory.ts
@@ -79,7 +79,7 @@
   }
 
   /** Records that the loads of other gateways were updated just now. */
-  noteLoads(): void {
+  markLoadsUpdated(): void {
     this.#loadsUpdatedAt = this.#options.clock.monotonic();
   }
 
@@ -92,12 +92,12 @@
   }
 
   /** The listener is called with each target that was removed from the list or starts draining. */
-  onLeaving(listener: (state: TargetState) => void): void {
+  onDraining(listener: (state: TargetState) => void): void {
     this.#drainingListeners.push(listener);
   }
 
   /** Replaces the targets by those of a complete list. */
-  take(list: readonly ListedTarget[]): void {
+  update(list: readonly ListedTarget[]): void {
     const { clock, logger } = this.#options;
     this.#loaded = true;
     this.#listUpdatedAt = clock.monotonic();
@@ -141,7 +141,7 @@
   async #read(): Promise<boolean> {
     const { source, logger } = this.#options;
     try {
-      this.take(await source.list());
+      this.update(await source.list());
       if (!this.#isSourceAvailable) logger.info({ event: 'target-list-regained' });
       this.#isSourceAvailable = true;
       return true;
--- a/src/targets/usual-durations.ts
+++ b/src/targets/duration-averages.ts
@@ -4,15 +4,15 @@
 const LATEST_DURATION_WEIGHT = 0.05;
 
 /** Exponential moving average of the duration of each service's requests. */
-export class UsualDurations {
+export class DurationAverages {
   readonly #services = new Map<string, number>();
 
-  note(service: string, milliseconds: number): void {
-    const average = this.of(service);
+  record(service: string, milliseconds: number): void {
+    const average = this.averageOf(service);
     this.#services.set(service, average + (milliseconds - average) * LATEST_DURATION_WEIGHT);
   }
 
-  of(service: string): number {
+  averageOf(service: string): number {
     return this.#services.get(service) ?? DEFAULT_DURATION_MILLISECONDS;
   }
 }
--- a/src/targets/index.ts
+++ b/src/targets/index.ts
@@ -4,10 +4,10 @@
   type PlacementRequest,
   TargetChooser,
 } from './chooser';
-export { type TargetConnection, TargetConnections } from './connections';
+export { type TargetConnection, TargetConnectionPool } from './connection-pool';
 export { TargetDirectory } from './directory';
 export { type LoadContract, LoadExchange } from './load-exchange';
 export { SharedTargetSource, type TargetListContract } from './shared-source';
 export { TargetState } from './state';
-export { UsualDurations } from './usual-durations';
+export { DurationAverages } from './duration-averages';
 export type { ListedTarget, PromptPart, TargetSource } from './target';
--- a/src/targets/load-exchange.ts
+++ b/src/targets/load-exchange.ts
@@ -1,6 +1,6 @@
 import type { NodeDirectory, NodeInfo } from '../cluster';
 import type { CancelTimer, Clock, Component, Logger } from '../core';
-import type { Caller, CastHandlers, Contract } from '../link';
+import type { RpcClient, CastHandlers, RpcContract } from '../rpc';
 import { selectCoordinator } from './coordinator';
 import type { TargetDirectory } from './directory';
 
@@ -40,7 +40,7 @@
 }
 
 export interface LoadContract {
-  readonly calls: Contract['calls'];
+  readonly calls: RpcContract['calls'];
   readonly casts: {
     readonly 'targets.load': LoadReport;
     readonly 'targets.load-elsewhere': OtherLoadsReport;
@@ -51,7 +51,7 @@
   readonly self: NodeInfo;
   readonly directory: NodeDirectory;
   readonly targets: TargetDirectory;
-  readonly peers: Pick<Caller<LoadContract>, 'cast' | 'isConnected'>;
+  readonly peers: Pick<RpcClient<LoadContract>, 'cast' | 'isConnected'>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -206,10 +206,10 @@
   }
 
   #apply(): void {
-    this.#options.targets.noteLoads();
+    this.#options.targets.markLoadsUpdated();
     const otherLoads = new Map(this.#otherLoads.inFlight);
     for (const state of this.#options.targets.all()) {
-      state.inFlightElsewhere = otherLoads.get(state.target.id) ?? 0;
+      state.inFlightFromOthers = otherLoads.get(state.target.id) ?? 0;
     }
   }
 }
--- a/src/targets/shared-source.ts
+++ b/src/targets/shared-source.ts
@@ -1,6 +1,6 @@
 import type { NodeDirectory, NodeInfo } from '../cluster';
 import { type Clock, type Logger, type Metrics, digestText, messageOf } from '../core';
-import type { CallHandlers, Caller, Contract } from '../link';
+import type { CallHandlers, RpcClient, RpcContract } from '../rpc';
 import { selectCoordinator } from './coordinator';
 import { type ListChanges, applyChanges, changesBetween, sortTargets } from './list-changes';
 import type { ListedTarget, TargetSource } from './target';
@@ -47,7 +47,7 @@
       readonly answer: TargetListAnswer;
     };
   };
-  readonly casts: Contract['casts'];
+  readonly casts: RpcContract['casts'];
 }
 
 export interface SharedTargetSourceOptions {
@@ -55,7 +55,7 @@
   readonly directory: NodeDirectory;
   /** Reads the platform's list. */
   readonly source: TargetSource;
-  readonly peers: Pick<Caller<TargetListContract>, 'call' | 'isConnected'>;
+  readonly peers: Pick<RpcClient<TargetListContract>, 'call' | 'isConnected'>;
   /** Rate limit of the platform for the reads of all processes together. */
   readonly callsPerSecond: number;
   /** Whether one gateway reads on behalf of all; otherwise each reads for itself. */
--- a/src/targets/state.ts
+++ b/src/targets/state.ts
@@ -22,7 +22,7 @@
   /** Requests of this process. */
   inFlight = 0;
   /** Requests of the other gateways, as they last reported. */
-  inFlightElsewhere = 0;
+  inFlightFromOthers = 0;
   #health = INITIAL_TARGET_HEALTH;
 
   constructor(target: ListedTarget, clock: Clock) {
@@ -31,7 +31,7 @@
   }
 
   get load(): number {
-    return this.inFlight + this.inFlightElsewhere;
+    return this.inFlight + this.inFlightFromOthers;
   }
 
   get isPaused(): boolean {
@@ -43,7 +43,7 @@
     return failureShareAt(this.#health, this.#clock.monotonic());
   }
 
-  note(event: HealthEvent): void {
+  recordOutcome(event: HealthEvent): void {
     this.#health = nextHealth(this.#health, event, this.#clock.monotonic());
   }
 
@@ -64,7 +64,7 @@
    * Records the parts in the engine's cache; generated tokens extend the last part. The least
    * recently used parts are evicted when they exceed the capacity of the cache, in tokens.
    */
-  noteParts(
+  recordParts(
     parts: readonly PromptPart[],
     generatedTokens: number,
     cacheCapacityTokens: number,
--- a/src/targets/tests/chooser.test.ts
+++ b/src/targets/tests/chooser.test.ts
@@ -1,12 +1,12 @@
 import { SeededRandom, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import { ALL_DECISIONS, createPlacers } from '../../decisions';
+import { DEFAULT_DECISION_SWITCHES, createPlacementPolicies } from '../../decisions';
 import { type PlacementRequest, TargetChooser, TargetDirectory, TargetState } from '..';
 
 const CLOCK = new ManualClock();
 const RANDOM = new SeededRandom(1);
 const CACHE_TOKENS = 200_000;
-const POLICIES = createPlacers(ALL_DECISIONS);
+const POLICIES = createPlacementPolicies(DEFAULT_DECISION_SWITCHES);
 
 function target(id: string, availabilityZone = 'a', slots = 6): TargetState {
   const listed = { id, service: 's', address: '10.0.0.1:80', availabilityZone, slots };
@@ -14,7 +14,7 @@
 }
 
 function request(overrides: Partial<PlacementRequest>): PlacementRequest {
-  return { parts: [], promptTokens: 0, lastTarget: undefined, heldTokens: 0, ...overrides };
+  return { parts: [], promptTokens: 0, lastTarget: undefined, cachedTokens: 0, ...overrides };
 }
 
 /** Applies a placement policy to targets on behalf of a gateway in availability zone `a`. */
@@ -31,7 +31,7 @@
         availabilityZone: 'a',
         promptTokens: prompt.promptTokens,
         lastTarget: prompt.lastTarget,
-        lastTargetCachedTokens: prompt.heldTokens,
+        lastTargetCachedTokens: prompt.cachedTokens,
         candidates: states.map((state) => state.candidateAt(CLOCK.monotonic(), parts)),
       },
       RANDOM,
@@ -56,15 +56,15 @@
 
     it('counts cached prompt tokens and generated tokens as cached', () => {
       const state = target('e1');
-      state.noteParts(earlierParts, 30, CACHE_TOKENS);
+      state.recordParts(earlierParts, 30, CACHE_TOKENS);
       expect(state.cachedTokens(laterParts)).toBe(2500 + 1230);
     });
 
     it('evicts the least recently used part when the cache capacity is exceeded', () => {
       const state = target('e1');
-      state.noteParts([{ id: 'old', tokens: 2000 }], 0, 4000);
-      state.noteParts(earlierParts, 30, 4000);
-      state.noteParts(earlierParts, 30, 4000);
+      state.recordParts([{ id: 'old', tokens: 2000 }], 0, 4000);
+      state.recordParts(earlierParts, 30, 4000);
+      state.recordParts(earlierParts, 30, 4000);
       expect(state.cachedTokens([{ id: 'old', tokens: 2000 }])).toBe(0);
       expect(state.cachedTokens(earlierParts)).toBe(3700);
     });
@@ -72,8 +72,8 @@
     it('prefers the engine that caches the conversation over an idle one', () => {
       const caching = target('e1');
       const idle = target('e2');
-      idle.noteParts(earlierParts.slice(0, 1), 0, CACHE_TOKENS);
-      caching.noteParts(earlierParts, 30, CACHE_TOKENS);
+      idle.recordParts(earlierParts.slice(0, 1), 0, CACHE_TOKENS);
+      caching.recordParts(earlierParts, 30, CACHE_TOKENS);
       caching.inFlight = 5;
       const placed = placement.place(
         [idle, caching],
@@ -84,7 +84,7 @@
 
     it('selects the last target although only another gateway has sent to it', () => {
       const states = [target('e1'), target('e2'), target('e3')];
-      const lastTurn: Partial<PlacementRequest> = { lastTarget: 'e3', heldTokens: 3730 };
+      const lastTurn: Partial<PlacementRequest> = { lastTarget: 'e3', cachedTokens: 3730 };
       const placed = placement.place(
         states,
         request({ parts: laterParts, promptTokens: 5400, ...lastTurn }),
@@ -94,8 +94,8 @@
 
     it('selects another engine when contention costs more than the prefill', () => {
       const caching = target('e1');
-      caching.noteParts(earlierParts, 30, CACHE_TOKENS);
-      caching.inFlightElsewhere = 60;
+      caching.recordParts(earlierParts, 30, CACHE_TOKENS);
+      caching.inFlightFromOthers = 60;
       const placed = placement.place(
         [caching, target('e2')],
         request({ parts: laterParts, promptTokens: 5400 }),
@@ -117,7 +117,7 @@
 
   it('excludes an unreachable target unless all are unreachable', () => {
     const paused = target('p1');
-    paused.note('unreachable');
+    paused.recordOutcome('unreachable');
     const reachable = target('p2', 'b');
     expect(placement.place([paused, reachable], request({}))?.state).toBe(reachable);
     expect(placement.place([paused], request({}))?.state).toBe(paused);
@@ -128,9 +128,9 @@
     const busy = target('p2');
     busy.inFlight = 4;
     for (let count = 0; count < 4; count += 1) {
-      failing.note('answered-with-error');
-      failing.note('answered');
-      failing.note('answered-with-error');
+      failing.recordOutcome('answered-with-error');
+      failing.recordOutcome('answered');
+      failing.recordOutcome('answered-with-error');
     }
     expect(placement.place([failing, busy], request({}))?.state).toBe(busy);
     CLOCK.advance(20_000);
@@ -139,9 +139,9 @@
 
   it('keeps a target paused whose address belongs to another server', () => {
     const replaced = target('p1');
-    replaced.note('address-reused');
-    replaced.note('answered');
-    replaced.note('unreachable');
+    replaced.recordOutcome('address-reused');
+    replaced.recordOutcome('answered');
+    replaced.recordOutcome('unreachable');
     CLOCK.advance(60_000);
     expect(replaced.isPaused).toBe(true);
   });
@@ -156,7 +156,7 @@
       source: { list: () => Promise.resolve([]) },
     });
     const listed = { service: 's', slots: 6, draining: false };
-    targets.take(
+    targets.update(
       Array.from({ length: count }, (_, index) => ({
         ...listed,
         id: `t${index}`,
@@ -168,7 +168,7 @@
     const choose = (overrides: Partial<PlacementRequest> = {}, tried: readonly string[] = []) =>
       chooser.choose({
         service: 's',
-        placer: POLICIES.engine,
+        policy: POLICIES.engine,
         placement: request(overrides),
         tried: new Set(tried),
         connectionLimit: 10,
@@ -191,7 +191,7 @@
 
   it('finds the engine of the previous turn', () => {
     const { choose } = largeService(1800);
-    const placed = choose({ ...prompt, lastTarget: 't1717', heldTokens: 4400 });
+    const placed = choose({ ...prompt, lastTarget: 't1717', cachedTokens: 4400 });
     expect(placed?.state.target.id).toBe('t1717');
   });
 
@@ -199,7 +199,7 @@
     const { targets, chooser, choose } = largeService(1800);
     const caching = targets.get('t900');
     if (caching === undefined) throw new Error('test target is not in the directory');
-    chooser.noteParts(caching, prompt.parts, 0, CACHE_TOKENS);
+    chooser.recordParts(caching, prompt.parts, 0, CACHE_TOKENS);
     expect(choose(prompt)?.state).toBe(caching);
   });
 
--- a/src/targets/tests/load-exchange.test.ts
+++ b/src/targets/tests/load-exchange.test.ts
@@ -20,10 +20,10 @@
     const { clock } = this;
     const shared = { clock, logger: createSilentLogger(), metrics: new Metrics() };
     const directory = new NodeDirectory(clock);
-    for (const node of nodes) directory.learn(node);
+    for (const node of nodes) directory.recordReport(node);
     const source = { list: () => Promise.resolve([]) };
     const targets = new TargetDirectory({ ...shared, source, random: new SeededRandom(1) });
-    targets.take([
+    targets.update([
       { id: 't', service: 's', address: 't', availabilityZone: 'a', slots: 8, draining: false },
     ]);
     const cast = <Name extends keyof LoadContract['casts']>(
@@ -54,7 +54,7 @@
   }
 
   loadFromOthers(gateway: string): number | undefined {
-    return this.#gateways.get(gateway)?.targets.get('t')?.inFlightElsewhere;
+    return this.#gateways.get(gateway)?.targets.get('t')?.inFlightFromOthers;
   }
 }
 
--- a/src/targets/tests/shared-source.test.ts
+++ b/src/targets/tests/shared-source.test.ts
@@ -1,7 +1,7 @@
 import { Metrics, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { NodeDirectory, type NodeInfo } from '../../cluster';
-import type { Caller } from '../../link';
+import type { RpcClient } from '../../rpc';
 import { type ListedTarget, SharedTargetSource, type TargetListContract } from '..';
 import type { TargetListAnswer } from '../shared-source';
 
@@ -70,7 +70,7 @@
   /** Adds each gateway to the directory of all others, where entries expire. */
   refreshDirectories(): void {
     for (const directory of this.#directories) {
-      for (const name of this.#names) directory.learn(gateway(name));
+      for (const name of this.#names) directory.recordReport(gateway(name));
     }
   }
 
@@ -80,7 +80,7 @@
     return source;
   }
 
-  get #caller(): Pick<Caller<TargetListContract>, 'call' | 'isConnected'> {
+  get #caller(): Pick<RpcClient<TargetListContract>, 'call' | 'isConnected'> {
     return {
       isConnected: (address) => !this.disconnected.has(address),
       call: (address, name, request) => {
--- a/src/turns/client.ts
+++ b/src/turns/client.ts
@@ -1,6 +1,6 @@
-import type { Newest, StoreView, ViewMember } from '../cluster';
+import type { LatestValue, StoreView, ViewMember } from '../cluster';
 import { type Clock, FoldedLine, type Logger, type Metrics, delay, messageOf } from '../core';
-import type { Caller } from '../link';
+import type { RpcClient } from '../rpc';
 import { type ReserveOptions, type ReserveOutcome, judgeBudget } from './budget';
 import type { ChainCache } from './chain-cache';
 import { holdersFirst } from './copies';
@@ -36,10 +36,10 @@
 
 export interface TurnClientOptions {
   readonly availabilityZone: string;
-  readonly view: Newest<StoreView>;
+  readonly view: LatestValue<StoreView>;
   readonly cache: ChainCache;
   readonly watch: Pick<StoreWatch, 'noteSuccess'>;
-  readonly peers: Caller<TurnContract>;
+  readonly peers: RpcClient<TurnContract>;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
--- a/src/turns/filler.ts
+++ b/src/turns/filler.ts
@@ -1,6 +1,6 @@
 import { FIRST_EPOCH, type StoreView, type ViewMember } from '../cluster';
 import { type Clock, type Logger, type RandomSource, delay, messageOf } from '../core';
-import type { Caller } from '../link';
+import type { RpcClient } from '../rpc';
 import type { PullAnswer, TurnContract } from './contract';
 import type { TurnJournal } from './journal';
 
@@ -16,7 +16,7 @@
 export interface FillerOptions {
   readonly self: string;
   readonly journal: TurnJournal;
-  readonly peers: Caller<TurnContract>;
+  readonly peers: RpcClient<TurnContract>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
--- a/src/turns/store-watch.ts
+++ b/src/turns/store-watch.ts
@@ -1,6 +1,6 @@
-import type { Newest, StoreView } from '../cluster';
+import type { LatestValue, StoreView } from '../cluster';
 import { type Clock, type Component, type Logger, PeriodicTask, messageOf } from '../core';
-import type { Caller } from '../link';
+import type { RpcClient } from '../rpc';
 import type { TurnContract } from './contract';
 import { askMembers } from './quorum';
 
@@ -20,8 +20,8 @@
 const NO_PROGRAM = '';
 
 export interface StoreWatchOptions {
-  readonly view: Newest<StoreView>;
-  readonly peers: Caller<TurnContract>;
+  readonly view: LatestValue<StoreView>;
+  readonly peers: RpcClient<TurnContract>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
--- a/src/turns/store.ts
+++ b/src/turns/store.ts
@@ -1,4 +1,4 @@
-import type { Newest, StoreView } from '../cluster';
+import type { LatestValue, StoreView } from '../cluster';
 import {
   type Clock,
   type Component,
@@ -7,7 +7,7 @@
   PeriodicTask,
   messageOf,
 } from '../core';
-import type { CallHandlers, CastHandlers } from '../link';
+import type { CallHandlers, CastHandlers } from '../rpc';
 import type {
   ChainAnswer,
   ChainRequest,
@@ -32,7 +32,7 @@
   readonly self: string;
   readonly journal: TurnJournal;
   readonly filler: Filler;
-  readonly view: Newest<StoreView>;
+  readonly view: LatestValue<StoreView>;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
--- a/src/turns/tests/epochs.test.ts
+++ b/src/turns/tests/epochs.test.ts
@@ -1,4 +1,4 @@
-import { Newest, type StoreView } from '../../cluster';
+import { LatestValue, type StoreView } from '../../cluster';
 import { Metrics, SeededRandom, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
@@ -25,7 +25,7 @@
   const records = new SegmentedStore({ folder: '/turns', fileSystem: disk.mount() });
   const journal = new TurnJournal(records, random);
   await journal.open();
-  const view = new Newest<StoreView>(({ epoch }) => epoch);
+  const view = new LatestValue<StoreView>(({ epoch }) => epoch);
   const peers = {
     call: () => Promise.reject(new Error('nobody else is there')),
     cast: () => undefined,
--- a/src/turns/tests/reservations.test.ts
+++ b/src/turns/tests/reservations.test.ts
@@ -1,7 +1,7 @@
-import { Newest, type StoreView } from '../../cluster';
+import { LatestValue, type StoreView } from '../../cluster';
 import { Metrics, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import type { Caller } from '../../link';
+import type { RpcClient } from '../../rpc';
 import { ChainCache, type Reservation, TurnClient, type TurnContract } from '..';
 import { settle } from './store-cluster';
 import { SAMPLE_VIEW } from './sample-view';
@@ -15,7 +15,7 @@
   /** Whether reservations wait until they are let through. */
   holds = false;
 
-  readonly caller: Caller<TurnContract> = {
+  readonly caller: RpcClient<TurnContract> = {
     call: ((store: string, _name: string, body: { readonly turn?: string }): Promise<unknown> => {
       const noted = this.#reservations.get(store) ?? [];
       this.#reservations.set(store, noted);
@@ -31,7 +31,7 @@
         if (this.holds) this.#held.set(`${store} ${turn}`, note);
         else note();
       });
-    }) as Caller<TurnContract>['call'],
+    }) as RpcClient<TurnContract>['call'],
     cast: (store: string, _name: string, notice: { readonly turn: string }) => {
       const noted = this.#reservations.get(store) ?? [];
       const withdrawn = { turn: notice.turn, tokens: 0, settled: true };
@@ -50,7 +50,7 @@
 }
 
 function createClient(stores: NotingStores, clock: ManualClock): TurnClient {
-  const view = new Newest<StoreView>(({ epoch }) => epoch);
+  const view = new LatestValue<StoreView>(({ epoch }) => epoch);
   view.offer(SAMPLE_VIEW);
   return new TurnClient({
     availabilityZone: 'a',
--- a/src/turns/tests/store-cluster.ts
+++ b/src/turns/tests/store-cluster.ts
@@ -1,7 +1,7 @@
-import { type KnownNode, Newest, type StoreView, planView } from '../../cluster';
+import { type KnownNode, LatestValue, type StoreView, planView } from '../../cluster';
 import { type Logger, Metrics, SeededRandom, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import type { Caller } from '../../link';
+import type { RpcClient } from '../../rpc';
 import { SegmentedStore } from '../../storage';
 import { MemoryDisk } from '../../storage/tests/disk';
 import { ChainCache, Filler, TurnClient, type TurnContract, TurnJournal, TurnStore } from '..';
@@ -23,7 +23,7 @@
   alive: boolean;
   run: number;
   journal: TurnJournal;
-  view: Newest<StoreView>;
+  view: LatestValue<StoreView>;
   calls: Readonly<Record<string, AnyHandler>>;
   casts: Readonly<Record<string, (body: unknown) => void>>;
 }
@@ -135,13 +135,13 @@
   }
 
   /** Plans the stores in use once, and tells everyone who is reached. */
-  plan(clients: readonly Newest<StoreView>[], silenceCounts: boolean): void {
+  plan(clients: readonly LatestValue<StoreView>[], silenceCounts: boolean): void {
     const step = planView({
       view: this.#planned,
       toleratedLosses: this.#tolerated,
       stores: [...this.#hosts.values()].filter(({ alive }) => alive).map(describe),
       retirements: new Map(),
-      silenceCounts,
+      failureDetectionActive: silenceCounts,
     });
     if (step?.kind === 'view') this.#planned = step.view;
     const view = this.#planned;
@@ -154,7 +154,10 @@
     }
   }
 
-  createClient(name: string): { readonly turns: TurnClient; readonly view: Newest<StoreView> } {
+  createClient(name: string): {
+    readonly turns: TurnClient;
+    readonly view: LatestValue<StoreView>;
+  } {
     const view = newestView();
     const turns = new TurnClient({
       availabilityZone: 'a',
@@ -177,7 +180,7 @@
     return message !== undefined;
   }
 
-  caller(from: string): Caller<TurnContract> {
+  caller(from: string): RpcClient<TurnContract> {
     const calls = (to: string, name: string, body: unknown, milliseconds: number) =>
       new Promise<unknown>((resolve, reject) => {
         this.clock.after(milliseconds, () => {
@@ -197,7 +200,7 @@
         });
       });
     return {
-      call: calls as Caller<TurnContract>['call'],
+      call: calls as RpcClient<TurnContract>['call'],
       cast: (to, name, body) => {
         this.#send(from, to, () => this.#host(to).casts[name]?.(body));
       },
@@ -224,8 +227,8 @@
   }
 }
 
-function newestView(): Newest<StoreView> {
-  return new Newest<StoreView>(({ epoch }) => epoch);
+function newestView(): LatestValue<StoreView> {
+  return new LatestValue<StoreView>(({ epoch }) => epoch);
 }
 
 function describe({ name, journal, view }: Host): KnownNode {
@@ -241,9 +244,9 @@
     },
     status: {
       configurationVersion: 0,
-      viewEpoch: view.number,
+      viewEpoch: view.version,
       completeFor: journal.completeFor,
     },
-    heardAt: 0,
+    lastSeenAt: 0,
   };
 }
--- a/src/turns/tests/store-watch.test.ts
+++ b/src/turns/tests/store-watch.test.ts
@@ -1,4 +1,4 @@
-import { Newest, type StoreView } from '../../cluster';
+import { LatestValue, type StoreView } from '../../cluster';
 import { createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { StoreWatch } from '..';
@@ -12,7 +12,7 @@
   const clock = new ManualClock();
   let reachable = true;
   let asked = 0;
-  const view = new Newest<StoreView>(({ epoch }) => epoch);
+  const view = new LatestValue<StoreView>(({ epoch }) => epoch);
   const watch = new StoreWatch({
     view,
     clock,
