--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -131,15 +131,15 @@
     metrics,
   });
   const cache = new ChainCache(CHAIN_CACHE_BYTES);
-  const watch = new StoreWatch({ view, peers, clock, logger });
-  const turnParts = { availabilityZone, view, cache, watch, peers, clock, logger, metrics };
+  const quorumMonitor = new StoreWatch({ view, peers, clock, logger });
+  const turnParts = { availabilityZone, view, cache, quorumMonitor, peers, clock, logger, metrics };
   const turns = new TurnClient(turnParts);
-  const preparer = new TurnPreparer({ turns, watch, clock });
+  const preparer = new TurnPreparer({ turns, watch: quorumMonitor, clock });
   const turnHandler = new TurnHandler({
     ...{ forwarder, preparer, quotaGate, turns, chooser, switches, clock, random, metrics },
   });
   let leaving = false;
-  const isServing = () => table !== undefined && targets.isLoaded && watch.reachesQuorum;
+  const isServing = () => table !== undefined && targets.isLoaded && quorumMonitor.reachesQuorum;
   const isReady = () => !leaving && isServing() && keyGuard.isConfirmed;
   const server = new GatewayServer({
     address: parseAddress(settings.listen.callers ?? ''),
@@ -179,7 +179,7 @@
   lifeCycle.add('cluster-service', service);
   lifeCycle.add('greeter', greeter);
   if (keeper !== undefined) lifeCycle.add('view-keeper', keeper.viewKeeper);
-  lifeCycle.add('store-watch', watch);
+  lifeCycle.add('store-watch', quorumMonitor);
   lifeCycle.add('targets', targets);
   lifeCycle.add('quotas', quotas);
   if (switches['shared-loads']) lifeCycle.add('loads', loads);
--- a/src/nodes/store-node.ts
+++ b/src/nodes/store-node.ts
@@ -1,5 +1,5 @@
 import { LifeCycle, messageOf } from '../core';
-import { Filler, TurnJournal, TurnStore } from '../turns';
+import { Backfill, TurnJournal, TurnStore } from '../turns';
 import { NodeParts, type NodePartsOptions } from './node';
 import { PauseWatch } from './pause-watch';
 
@@ -15,8 +15,8 @@
   });
   await journal.open();
   const self = parts.describe(false, journal.dataLife);
-  const filler = new Filler({ self: self.name, journal, peers, clock, random, logger });
-  const store = new TurnStore({ self: self.name, journal, filler, view, clock, logger, metrics });
+  const backfill = new Backfill({ self: self.name, journal, peers, clock, random, logger });
+  const store = new TurnStore({ self: self.name, journal, backfill, view, clock, logger, metrics });
   const status = () => ({
     configurationVersion: configuration.number,
     viewEpoch: view.number,
--- a/src/turns/budget.ts
+++ b/src/turns/budget.ts
@@ -4,47 +4,49 @@
 export interface ReserveOptions {
   readonly program: string;
   readonly turn: string;
-  /** Tokens that the turn may generate at most. */
+  /** Upper bound on the tokens that the turn generates. */
   readonly most: number;
   /** Tokens that all turns of the program may generate together. */
   readonly budget: number;
-  /** Monotonic time after which the answer is of no use. */
+  /** Monotonic time, milliseconds. */
   readonly deadline: number;
 }
 
-/** Whether a turn's tokens fit in what is left of the budget, and what the others take of it. */
 export interface ReserveOutcome {
   readonly fits: boolean;
-  /** Tokens that the program's other turns have generated, or may generate. */
+  /** Tokens that the program's other turns have generated or reserved. */
   readonly taken: number;
 }
 
-/** What stores' answers say of a reservation that stands at a quorum of them. */
-export interface BudgetVerdict {
-  /** `contended`: it would fit if the open reservations whose names come later were given back. */
+/** Result of checking a reservation, stored at a quorum, against the program's budget. */
+export interface BudgetEvaluation {
+  /** `contended`: fits once the unsettled reservations with greater turn ids are released. */
   readonly kind: 'fits' | 'contended' | 'spent';
-  /** Tokens that the program's other turns have generated, or may generate. */
-  readonly taken: number;
+  /** Tokens that the program's other turns have generated or reserved. */
+  readonly committedTokens: number;
 }
 
-/** Judges a reservation by all that the stores know of the program's others. */
-export function judgeBudget(
+/** Checks a reservation against the union of the other reservations in the stores' answers. */
+export function evaluateBudget(
   answers: readonly ReservationsAnswer[],
   { turn, most, budget }: Pick<ReserveOptions, 'turn' | 'most' | 'budget'>,
-): BudgetVerdict {
-  let taken = 0;
-  let takenBefore = 0;
-  for (const reservation of othersOf(answers, turn)) {
-    taken += reservation.tokens;
-    const goesFirst = reservation.settled || reservation.turn < turn;
-    if (goesFirst) takenBefore += reservation.tokens;
+): BudgetEvaluation {
+  let committedTokens = 0;
+  let committedBefore = 0;
+  for (const reservation of reservationsOfOtherTurns(answers, turn)) {
+    committedTokens += reservation.tokens;
+    const hasPrecedence = reservation.settled || reservation.turn < turn;
+    if (hasPrecedence) committedBefore += reservation.tokens;
   }
-  if (taken + most <= budget) return { kind: 'fits', taken };
-  return { kind: takenBefore + most <= budget ? 'contended' : 'spent', taken };
+  if (committedTokens + most <= budget) return { kind: 'fits', committedTokens };
+  return { kind: committedBefore + most <= budget ? 'contended' : 'spent', committedTokens };
 }
 
-/** The other turns' reservations, each once; what one store knows as settled is settled. */
-function othersOf(answers: readonly ReservationsAnswer[], turn: string): Iterable<Reservation> {
+/** Merges the answers by turn; a reservation that any store holds as settled is settled. */
+function reservationsOfOtherTurns(
+  answers: readonly ReservationsAnswer[],
+  turn: string,
+): Iterable<Reservation> {
   const others = new Map<string, Reservation>();
   for (const { reservations } of answers) {
     for (const reservation of reservations) {
--- a/src/turns/chain-cache.ts
+++ b/src/turns/chain-cache.ts
@@ -1,9 +1,9 @@
 import type { TurnRecord } from './records';
 
-/** Bytes that a cached turn takes besides its bodies, roughly. */
-const TURN_BYTES = 500;
+/** Estimated memory of a cached turn besides its input and output; bytes. */
+const TURN_OVERHEAD_BYTES = 500;
 
-/** Whole turns that passed this process, the latest used kept; they never change. */
+/** LRU cache of completed turns, which are immutable. */
 export class ChainCache {
   readonly #limitBytes: number;
   readonly #turns = new Map<string, TurnRecord>();
@@ -17,10 +17,10 @@
     if (this.#turns.has(record.id)) return;
     this.#turns.set(record.id, record);
     this.#bytes += sizeOf(record);
-    for (const [id, oldest] of this.#turns) {
+    for (const [id, leastRecent] of this.#turns) {
       if (this.#bytes <= this.#limitBytes) return;
       this.#turns.delete(id);
-      this.#bytes -= sizeOf(oldest);
+      this.#bytes -= sizeOf(leastRecent);
     }
   }
 
@@ -34,5 +34,5 @@
 }
 
 function sizeOf({ input, output }: TurnRecord): number {
-  return TURN_BYTES + input.length + output.length;
+  return TURN_OVERHEAD_BYTES + input.length + output.length;
 }
--- a/src/turns/client.ts
+++ b/src/turns/client.ts
@@ -1,125 +1,125 @@
 import type { Newest, StoreView, ViewMember } from '../cluster';
 import { type Clock, FoldedLine, type Logger, type Metrics, delay, messageOf } from '../core';
 import type { Caller } from '../link';
-import { type ReserveOptions, type ReserveOutcome, judgeBudget } from './budget';
+import { type ReserveOptions, type ReserveOutcome, evaluateBudget } from './budget';
 import type { ChainCache } from './chain-cache';
-import { holdersFirst } from './copies';
+import { rankReplicas } from './copies';
 import type { ChainAnswer, ReservationsAnswer, TurnContract, ViewMismatch } from './contract';
 import { TurnsUnavailable } from './errors';
 import type { StoreWatch } from './store-watch';
-import { type Preference, type Round, askInTurn, askMembers } from './quorum';
+import { type Hedging, type QueryRound, queryInOrder, queryMembers } from './quorum';
 import type { TurnRecord } from './records';
 
-/** Longest wait for one store; a sync takes 1 ms, a disk may stall for seconds. Milliseconds. */
-const ANSWER_MILLISECONDS = 500;
+/** Timeout of one call to a store. */
+const CALL_TIMEOUT_MILLISECONDS = 500;
 
-/** Longest wait for all stores once a quorum has answered; twice a round trip. Milliseconds. */
-const GRACE_MILLISECONDS = 12;
+/** Time for which the remaining stores are awaited after a quorum has answered. */
+const STRAGGLER_WAIT_MILLISECONDS = 12;
 
-/**
- * Time after which the next store is asked for a chain too; a store answers in 5 ms, and one that
- * was lost without a word would hold the turn for its whole answer time. Milliseconds.
- */
-const STAGGER_MILLISECONDS = 25;
+/** Delay before a hedged query is sent to further stores. */
+const HEDGE_DELAY_MILLISECONDS = 25;
 
-/** Pause before stores are asked again; milliseconds. */
-const RETRY_MILLISECONDS = 40;
+const RETRY_DELAY_MILLISECONDS = 40;
 
-/** Looks of a reserver that waits for others to withdraw; their first rounds take 15 ms or less. */
-const CONTENDED_LOOKS = 4;
+/** Reads of a contended budget before the reservation is refused. */
+const CONTENTION_MAX_RETRIES = 4;
 
-/** Pause before each such look: a message there and a sync; milliseconds. */
-const CONTENDED_MILLISECONDS = 10;
+const CONTENTION_RETRY_DELAY_MILLISECONDS = 10;
 
-/** Shortest time between two lines on missed quorums; a request's own line names its reason. */
-const MISSED_LINE_MILLISECONDS = 1000;
+/** Minimum time between two `quorum-missed` log lines. */
+const QUORUM_MISSED_LOG_INTERVAL_MILLISECONDS = 1000;
 
 export interface TurnClientOptions {
   readonly availabilityZone: string;
   readonly view: Newest<StoreView>;
   readonly cache: ChainCache;
-  readonly watch: Pick<StoreWatch, 'noteSuccess'>;
+  readonly quorumMonitor: Pick<StoreWatch, 'recordSuccess'>;
   readonly peers: Caller<TurnContract>;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** The chain that a turn continues, oldest turn first; or that there is no such turn. */
+/** A turn and its ancestors, oldest first. */
 export type ChainLookup =
   { readonly kind: 'found'; readonly records: readonly TurnRecord[] } | { readonly kind: 'absent' };
 
 type Reply<Answer> = Answer | ViewMismatch;
 
-/** Reads and writes turns and budgets at a quorum of the stores in use. */
+/** Reads and writes turns and budgets at a quorum of the current view's stores. */
 export class TurnClient {
   readonly #options: TurnClientOptions;
-  /** Stores whose last answer came too late or not at all; no round waits for them. */
-  readonly #silent = new Set<string>();
-  readonly #missedLine: FoldedLine;
+  /** Stores that missed their last call's deadline; no round waits for them after its quorum. */
+  readonly #unresponsive = new Set<string>();
+  readonly #quorumMissedLog: FoldedLine;
 
   constructor(options: TurnClientOptions) {
     this.#options = options;
     const { clock, logger } = options;
-    const milliseconds = MISSED_LINE_MILLISECONDS;
-    this.#missedLine = new FoldedLine({ event: 'quorum-missed', milliseconds, clock, logger });
+    const milliseconds = QUORUM_MISSED_LOG_INTERVAL_MILLISECONDS;
+    this.#quorumMissedLog = new FoldedLine({ event: 'quorum-missed', milliseconds, clock, logger });
   }
 
   /**
-   * Reserves a turn's tokens; resolves with whether they fit in the budget. Of several reservations
-   * at once that fit singly but not together, those with the smallest names are granted: they look
-   * again until the others have withdrawn, which is when their reservers give them back.
+   * Reserves a turn's tokens; resolves with whether they fit in the budget. Of concurrent
+   * reservations that fit singly but not together, those with the smallest turn ids are granted:
+   * they read again until the callers of the refused ones have settled those with 0 tokens.
    */
   async reserve(options: ReserveOptions): Promise<ReserveOutcome> {
     const { clock, metrics } = this.#options;
-    let verdict = judgeBudget(await this.#firstReservations(options), options);
-    for (let look = 0; verdict.kind === 'contended' && look < CONTENDED_LOOKS; look += 1) {
-      if (clock.monotonic() + CONTENDED_MILLISECONDS >= options.deadline) break;
+    let evaluation = evaluateBudget(await this.#writeReservation(options), options);
+    for (
+      let retry = 0;
+      evaluation.kind === 'contended' && retry < CONTENTION_MAX_RETRIES;
+      retry += 1
+    ) {
+      if (clock.monotonic() + CONTENTION_RETRY_DELAY_MILLISECONDS >= options.deadline) break;
       metrics.count('contended_reservations_total');
-      await delay(clock, CONTENDED_MILLISECONDS);
-      verdict = judgeBudget(await this.#readReservations(options), options);
+      await delay(clock, CONTENTION_RETRY_DELAY_MILLISECONDS);
+      evaluation = evaluateBudget(await this.#readReservations(options), options);
     }
-    return { fits: verdict.kind === 'fits', taken: verdict.taken };
+    return { fits: evaluation.kind === 'fits', taken: evaluation.committedTokens };
   }
 
   /**
-   * Writes a reservation and reads the others. When every store has answered, the last reserver has
-   * seen all others. Otherwise a second round is needed: it begins after the reservation stands at
-   * a quorum, so of two reservers one sees the other.
+   * Writes a reservation and reads the program's others. If every store has answered, one round
+   * suffices: of concurrent writers, the last one sees all others. Otherwise a second round reads
+   * again once the reservation is durable at a quorum, so that at least one of two writers sees the
+   * other.
    */
-  async #firstReservations(options: ReserveOptions): Promise<readonly ReservationsAnswer[]> {
+  async #writeReservation(options: ReserveOptions): Promise<readonly ReservationsAnswer[]> {
     const { program, turn, most, deadline } = options;
-    const first = await this.#atQuorum<ReservationsAnswer>({
+    const first = await this.#queryQuorum<ReservationsAnswer>({
       deadline,
-      graceMilliseconds: GRACE_MILLISECONDS,
-      counts: () => true,
-      ask: (view, { address }) =>
+      stragglerWaitMilliseconds: STRAGGLER_WAIT_MILLISECONDS,
+      isCounted: () => true,
+      query: (view, { address }) =>
         this.#call(address, 'turns.reserve', { epoch: view.epoch, program, turn, most }),
     });
-    const unanimous = first.all && first.answers.every((answer) => answer.complete);
-    if (unanimous) return first.answers;
+    const isUnanimous = first.allAnswered && first.answers.every((answer) => answer.complete);
+    if (isUnanimous) return first.answers;
     this.#options.metrics.count('reservations_in_two_rounds_total');
     return [...first.answers, ...(await this.#readReservations(options))];
   }
 
-  /** What a quorum of complete stores knows of a program's reservations. */
+  /** Reads a program's reservations from a quorum of stores that hold all acknowledged data. */
   async #readReservations({
     program,
     deadline,
   }: ReserveOptions): Promise<readonly ReservationsAnswer[]> {
-    const { answers } = await this.#atQuorum<ReservationsAnswer>({
+    const { answers } = await this.#queryQuorum<ReservationsAnswer>({
       deadline,
-      graceMilliseconds: 0,
-      counts: (answer) => answer.complete,
-      ask: (view, { address }) =>
+      stragglerWaitMilliseconds: 0,
+      isCounted: (answer) => answer.complete,
+      query: (view, { address }) =>
         this.#call(address, 'turns.reservations', { epoch: view.epoch, program }),
     });
     return answers;
   }
 
   /**
-   * Tells the stores what a turn that is not kept has generated, 0 if it was not run. A store that
-   * misses it counts the most that the turn might have generated.
+   * Reduces the reservation of a turn that is not recorded to the tokens that it generated, 0 if it
+   * did not run. Best effort: a store that misses the message keeps counting the reserved maximum.
    */
   settle(program: string, turn: string, tokens: number): void {
     const { view, peers } = this.#options;
@@ -129,32 +129,32 @@
   }
 
   /**
-   * Resolves once a whole turn lasts at a quorum. The program's holders are written to first, the other
-   * stores where one of those is late.
+   * Resolves once a completed turn is durable at a quorum. Writes to the program's preferred
+   * replicas first, and to the other stores if one of those is late or fails.
    */
   async record(record: TurnRecord, deadline: number): Promise<void> {
-    await this.#atQuorum<{ readonly kind: 'kept' }>({
+    await this.#queryQuorum<{ readonly kind: 'kept' }>({
       deadline,
-      graceMilliseconds: 0,
-      counts: () => true,
-      prefer: (view) => ({
-        order: this.#answeringFirst(holdersFirst(view, record.program)),
-        first: view.quorum,
-        staggerMilliseconds: STAGGER_MILLISECONDS,
+      stragglerWaitMilliseconds: 0,
+      isCounted: () => true,
+      hedge: (view) => ({
+        order: this.#responsiveFirst(rankReplicas(view, record.program)),
+        initialCount: view.quorum,
+        hedgeDelayMilliseconds: HEDGE_DELAY_MILLISECONDS,
       }),
-      ask: (view, { address }) =>
+      query: (view, { address }) =>
         this.#call(address, 'turns.record', { epoch: view.epoch, record }),
     });
     this.#options.cache.add(record);
   }
 
-  /** Finds a turn and all that it continues; rejects where that can't be told for certain. */
+  /** Finds a turn and its ancestors; rejects if no quorum can confirm their presence or absence. */
   async chain(turn: string, program: string, deadline: number): Promise<ChainLookup> {
     const records: TurnRecord[] = [];
     for (let id: string | undefined = turn; id !== undefined;) {
       const cached = this.#options.cache.get(id);
       const fetched: readonly TurnRecord[] =
-        cached === undefined ? await this.#fetch(id, program, deadline) : [cached];
+        cached === undefined ? await this.#fetchChain(id, program, deadline) : [cached];
       if (fetched.length === 0) {
         if (id === turn) return { kind: 'absent' };
         throw new TurnsUnavailable(`turn ${id}, which ${turn} continues, is not found`);
@@ -165,39 +165,40 @@
     return { kind: 'found', records };
   }
 
-  /** Nothing if a quorum says that the turn is not there. */
-  async #fetch(id: string, program: string, deadline: number): Promise<readonly TurnRecord[]> {
+  /** Resolves with an empty list if a quorum confirms that the turn is absent. */
+  async #fetchChain(id: string, program: string, deadline: number): Promise<readonly TurnRecord[]> {
     const { clock, metrics, view } = this.#options;
     metrics.count('chains_fetched_total');
     while (clock.monotonic() < deadline) {
       const present = view.value;
-      const found = present === undefined ? undefined : await this.#fetchIn(present, id, program);
+      const found =
+        present === undefined ? undefined : await this.#fetchChainInView(present, id, program);
       if (found !== undefined) return found;
-      await delay(clock, RETRY_MILLISECONDS);
+      await delay(clock, RETRY_DELAY_MILLISECONDS);
     }
     throw new TurnsUnavailable(`too few stores answer for turn ${id}`);
   }
 
-  /** Asks the stores of a view, the program's holders first; nothing if they can't tell for certain. */
-  #fetchIn(
+  /** Resolves with `undefined` if the view's stores are inconclusive. */
+  #fetchChainInView(
     view: StoreView,
     id: string,
     program: string,
   ): Promise<readonly TurnRecord[] | undefined> {
     const { clock, cache, logger } = this.#options;
-    const absentAt = new Set<string>();
-    return askInTurn<Reply<ChainAnswer>, readonly TurnRecord[]>({
-      members: this.#nearestHoldersFirst(view, program),
+    const storesWithoutTurn = new Set<string>();
+    return queryInOrder<Reply<ChainAnswer>, readonly TurnRecord[]>({
+      members: this.#nearestReplicasFirst(view, program),
       clock,
-      staggerMilliseconds: STAGGER_MILLISECONDS,
-      ask: ({ address }) => this.#call(address, 'turns.chain', { epoch: view.epoch, turn: id }),
+      hedgeDelayMilliseconds: HEDGE_DELAY_MILLISECONDS,
+      query: ({ address }) => this.#call(address, 'turns.chain', { epoch: view.epoch, turn: id }),
       decide: (answer, { name }) => {
-        this.#learn(answer);
+        this.#adoptNewerView(answer);
         if (answer.kind !== 'chain') return undefined;
         for (const record of answer.records) cache.add(record);
         if (answer.records.length > 0) return answer.records;
-        if (answer.complete) absentAt.add(name);
-        return absentAt.size >= view.quorum ? [] : undefined;
+        if (answer.complete) storesWithoutTurn.add(name);
+        return storesWithoutTurn.size >= view.quorum ? [] : undefined;
       },
       onFailure: (error, { name }) => {
         logger.info({ event: 'chain-not-read', turn: id, store: name, error: messageOf(error) });
@@ -205,17 +206,16 @@
     });
   }
 
-  /** A turn's holders are those of the program that it belongs to, which most often is the asker's. */
-  #nearestHoldersFirst(view: StoreView, program: string): readonly ViewMember[] {
-    const members = holdersFirst(view, program);
-    const holders = members.slice(0, view.quorum);
-    return [...this.#nearestFirst(holders), ...this.#nearestFirst(members.slice(view.quorum))];
+  /** The turn is assumed to belong to `program`, whose preferred replicas then hold it. */
+  #nearestReplicasFirst(view: StoreView, program: string): readonly ViewMember[] {
+    const members = rankReplicas(view, program);
+    const replicas = members.slice(0, view.quorum);
+    return [...this.#nearestFirst(replicas), ...this.#nearestFirst(members.slice(view.quorum))];
   }
 
-  /** Puts the stores last that were late or lost at their last question. */
-  #answeringFirst(members: readonly ViewMember[]): readonly ViewMember[] {
-    const isSilent = ({ name }: ViewMember) => Number(this.#silent.has(name));
-    return [...members].sort((left, right) => isSilent(left) - isSilent(right));
+  #responsiveFirst(members: readonly ViewMember[]): readonly ViewMember[] {
+    const isUnresponsive = ({ name }: ViewMember) => Number(this.#unresponsive.has(name));
+    return [...members].sort((left, right) => isUnresponsive(left) - isUnresponsive(right));
   }
 
   #nearestFirst(members: readonly ViewMember[]): readonly ViewMember[] {
@@ -226,60 +226,63 @@
     return [...members].sort((left, right) => rank(left) - rank(right));
   }
 
-  /** Asks until a quorum of one and the same view has answered. */
-  async #atQuorum<Answer extends { readonly kind: string }>(options: {
+  /** Retries until a quorum of a single view has answered. */
+  async #queryQuorum<Answer extends { readonly kind: string }>(options: {
     readonly deadline: number;
-    readonly graceMilliseconds: number;
-    readonly counts: (answer: Answer) => boolean;
-    /** Which stores are asked first; all at once where it is left out. */
-    readonly prefer?: (view: StoreView) => Preference;
-    readonly ask: (view: StoreView, member: ViewMember) => Promise<Reply<Answer>>;
-  }): Promise<{ readonly answers: readonly Answer[]; readonly all: boolean }> {
+    readonly stragglerWaitMilliseconds: number;
+    readonly isCounted: (answer: Answer) => boolean;
+    /** Without it, all stores are queried at once. */
+    readonly hedge?: (view: StoreView) => Hedging;
+    readonly query: (view: StoreView, member: ViewMember) => Promise<Reply<Answer>>;
+  }): Promise<{ readonly answers: readonly Answer[]; readonly allAnswered: boolean }> {
     const { clock, view: newest, metrics } = this.#options;
     let reason = 'no stores are known';
     for (;;) {
       const view = newest.value;
       if (view !== undefined) {
-        const round = await askMembers<Reply<Answer>>({
+        const round = await queryMembers<Reply<Answer>>({
           view,
           clock,
-          graceMilliseconds: options.graceMilliseconds,
-          isExpected: ({ name }) => !this.#silent.has(name),
-          ask: (member) => this.#listen(member, options.ask(view, member)),
-          isEnough: (answers) =>
-            accepted<Answer>(answers).filter(options.counts).length >= view.quorum,
+          stragglerWaitMilliseconds: options.stragglerWaitMilliseconds,
+          isResponsive: ({ name }) => !this.#unresponsive.has(name),
+          query: (member) => this.#trackResponsiveness(member, options.query(view, member)),
+          isDecided: (answers) =>
+            withoutMismatches<Answer>(answers).filter(options.isCounted).length >= view.quorum,
           describeFailure: messageOf,
-          preference: options.prefer?.(view),
+          hedging: options.hedge?.(view),
         });
-        // Without a grace a round ends before the slowest store could answer.
-        if (options.graceMilliseconds > 0) {
-          for (const name of round.waiting) this.#silent.add(name);
+        // Without a straggler wait, a pending store may still be about to answer in time.
+        if (options.stragglerWaitMilliseconds > 0) {
+          for (const name of round.pending) this.#unresponsive.add(name);
         }
-        for (const answer of round.answers) this.#learn(answer);
-        const answers = accepted<Answer>(round.answers);
-        if (answers.filter(options.counts).length >= view.quorum) {
-          this.#options.watch.noteSuccess();
-          return { answers, all: answers.length === view.members.length };
+        for (const answer of round.answers) this.#adoptNewerView(answer);
+        const answers = withoutMismatches<Answer>(round.answers);
+        if (answers.filter(options.isCounted).length >= view.quorum) {
+          this.#options.quorumMonitor.recordSuccess();
+          return { answers, allAnswered: answers.length === view.members.length };
         }
-        reason = describe(round);
+        reason = describeRound(round);
         metrics.count('quorums_missed_total');
-        this.#missedLine.note({ epoch: view.epoch, reason });
+        this.#quorumMissedLog.note({ epoch: view.epoch, reason });
       }
-      if (clock.monotonic() + RETRY_MILLISECONDS >= options.deadline) {
+      if (clock.monotonic() + RETRY_DELAY_MILLISECONDS >= options.deadline) {
         throw new TurnsUnavailable(`too few stores answer: ${reason}`);
       }
-      await delay(clock, RETRY_MILLISECONDS);
+      await delay(clock, RETRY_DELAY_MILLISECONDS);
     }
   }
 
-  /** Notes whether a store answers, also where nobody waits for it any more. */
-  async #listen<Answer>(member: ViewMember, answering: Promise<Answer>): Promise<Answer> {
+  /** Records whether a store answers, also after its round has ended. */
+  async #trackResponsiveness<Answer>(
+    member: ViewMember,
+    pendingAnswer: Promise<Answer>,
+  ): Promise<Answer> {
     try {
-      const answer = await answering;
-      this.#silent.delete(member.name);
+      const answer = await pendingAnswer;
+      this.#unresponsive.delete(member.name);
       return answer;
     } catch (error) {
-      this.#silent.add(member.name);
+      this.#unresponsive.add(member.name);
       throw error;
     }
   }
@@ -289,15 +292,15 @@
     name: Name,
     request: TurnContract['calls'][Name]['request'],
   ): Promise<TurnContract['calls'][Name]['answer']> {
-    return this.#options.peers.call(address, name, request, ANSWER_MILLISECONDS);
+    return this.#options.peers.call(address, name, request, CALL_TIMEOUT_MILLISECONDS);
   }
 
-  #learn(answer: { readonly kind: string } | ViewMismatch): void {
+  #adoptNewerView(answer: { readonly kind: string } | ViewMismatch): void {
     if (answer.kind === 'stale' && 'view' in answer) this.#options.view.offer(answer.view);
   }
 }
 
-function accepted<Answer extends { readonly kind: string }>(
+function withoutMismatches<Answer extends { readonly kind: string }>(
   answers: readonly Reply<Answer>[],
 ): readonly Answer[] {
   return answers.filter(
@@ -305,7 +308,9 @@
   );
 }
 
-function describe<Answer extends { readonly kind: string }>(round: Round<Answer>): string {
+function describeRound<Answer extends { readonly kind: string }>(
+  round: QueryRound<Answer>,
+): string {
   const kinds = round.answers.map(({ kind }) => kind).join(', ');
   return [kinds, ...round.failures].filter((part) => part !== '').join('; ');
 }
--- a/src/turns/contract.ts
+++ b/src/turns/contract.ts
@@ -1,45 +1,45 @@
 import type { StoreView } from '../cluster';
 import type { Reservation, TurnRecord, TurnRow } from './records';
 
-/** Answer of a store that does not serve the view that the asker named. */
+/** Answer of a store that does not serve the requested view. */
 export type ViewMismatch =
   /** The store serves a newer view. */
   | { readonly kind: 'stale'; readonly view: StoreView }
-  /** The store does not know that view yet, or does not take part in it. */
+  /** The store does not know that view yet, or is not a member of it. */
   | { readonly kind: 'behind' };
 
-/** What an asker and a store must agree on: the epoch of the stores in use. */
-interface InView {
+/** Request that a store serves only in the view of that epoch. */
+interface ViewRequest {
   readonly epoch: number;
 }
 
-export interface ReserveRequest extends InView {
+export interface ReserveRequest extends ViewRequest {
   readonly program: string;
   readonly turn: string;
-  /** Tokens that the turn may generate at most. */
+  /** Upper bound on the tokens that the turn generates. */
   readonly most: number;
 }
 
 export interface SettleNotice {
   readonly program: string;
   readonly turn: string;
-  /** 0 for a turn that was not run. */
+  /** Tokens that the turn generated; 0 if it did not run. */
   readonly tokens: number;
 }
 
-/** Reservations of a program, as one store knows them. */
+/** A program's reservations at one store. */
 export interface ReservationsAnswer {
   readonly kind: 'reservations';
-  /** Whether the store holds everything that was acknowledged in earlier views. */
+  /** Whether the store has completed its backfill: it holds all that earlier views acknowledged. */
   readonly complete: boolean;
   readonly reservations: readonly Reservation[];
 }
 
-export interface RecordRequest extends InView {
+export interface RecordRequest extends ViewRequest {
   readonly record: TurnRecord;
 }
 
-export interface ChainRequest extends InView {
+export interface ChainRequest extends ViewRequest {
   readonly turn: string;
 }
 
@@ -50,12 +50,12 @@
   readonly missing: string | undefined;
 }
 
-export interface PullRequest extends InView {
-  /** Chosen by the asker for one filling. */
+export interface PullRequest extends ViewRequest {
+  /** Random id of the pull session. */
   readonly filling: string;
-  /** Rows that the asker has had from this store in this filling. */
+  /** Rows already received in this session. */
   readonly offset: number;
-  /** Turns that the asker holds already; sent with the first request. */
+  /** Ids of the turns that the requester already stores; empty after the first request. */
   readonly held: readonly string[];
 }
 
@@ -66,7 +66,7 @@
   readonly final: boolean;
 }
 
-/** What gateways ask of stores, and stores of one another. */
+/** Calls and one-way messages to a store, from gateways and other stores. */
 export interface TurnContract {
   readonly calls: {
     readonly 'turns.reserve': {
@@ -74,7 +74,7 @@
       readonly answer: ReservationsAnswer | ViewMismatch;
     };
     readonly 'turns.reservations': {
-      readonly request: InView & { readonly program: string };
+      readonly request: ViewRequest & { readonly program: string };
       readonly answer: ReservationsAnswer | ViewMismatch;
     };
     readonly 'turns.record': {
@@ -91,7 +91,7 @@
     };
   };
   readonly casts: {
-    /** Tells what a turn that is not kept has generated, so that its reservation shrinks to that. */
+    /** Reduces the reservation of a turn that is not recorded to the tokens that it generated. */
     readonly 'turns.settle': SettleNotice;
   };
 }
--- a/src/turns/filler.ts
+++ b/src/turns/filler.ts
@@ -4,16 +4,14 @@
 import type { PullAnswer, TurnContract } from './contract';
 import type { TurnJournal } from './journal';
 
-/** Longest wait for one page; milliseconds. */
-const PAGE_MILLISECONDS = 1000;
+const PAGE_TIMEOUT_MILLISECONDS = 1000;
 
-/** Pause before members that did not answer are asked again; milliseconds. */
-const RETRY_MILLISECONDS = 150;
+/** Delay before members that did not serve a complete pull are asked again. */
+const RETRY_DELAY_MILLISECONDS = 150;
 
-/** Random bytes that name one filling. */
-const FILLING_BYTES = 8;
+const PULL_SESSION_ID_BYTES = 8;
 
-export interface FillerOptions {
+export interface BackfillOptions {
   readonly self: string;
   readonly journal: TurnJournal;
   readonly peers: Caller<TurnContract>;
@@ -23,26 +21,26 @@
 }
 
 /**
- * Fills this store with what was acknowledged before it joined. It must hear out a quorum of
- * members that hold everything themselves: any record has a copy at one of them.
+ * Copies the rows that were acknowledged before this store joined. Pulls from a quorum of complete
+ * members, at least one of which holds any given acknowledged row.
  */
-export class Filler {
-  readonly #options: FillerOptions;
+export class Backfill {
+  readonly #options: BackfillOptions;
   #view: StoreView | undefined;
   #stopped = false;
 
-  constructor(options: FillerOptions) {
+  constructor(options: BackfillOptions) {
     this.#options = options;
   }
 
-  /** Starts to fill the store for a view, in place of what was under way. */
-  fill(view: StoreView): void {
+  /** Starts the backfill for a view and abandons that of an earlier one. */
+  start(view: StoreView): void {
     this.#view = view;
     const { self, journal, logger } = this.#options;
     const member = view.members.find(({ name }) => name === self);
     if (member?.dataLife !== journal.dataLife) return;
     if (member.joined === journal.completeFor) return;
-    this.#fill(view, member).catch((error: unknown) => {
+    this.#run(view, member).catch((error: unknown) => {
       logger.error({ event: 'filling-failed', epoch: view.epoch, error: messageOf(error) });
     });
   }
@@ -51,25 +49,25 @@
     this.#stopped = true;
   }
 
-  async #fill(view: StoreView, self: ViewMember): Promise<void> {
+  async #run(view: StoreView, self: ViewMember): Promise<void> {
     const { journal, clock, logger } = this.#options;
     const startedAt = clock.monotonic();
-    const heard = new Set<string>();
-    while (self.joined !== FIRST_EPOCH && heard.size < view.quorum) {
-      for (const member of othersFirstOfZone(view, self)) {
+    const sources = new Set<string>();
+    while (self.joined !== FIRST_EPOCH && sources.size < view.quorum) {
+      for (const member of otherMembersNearestFirst(view, self)) {
         if (!this.#isCurrent(view)) return;
-        if (heard.has(member.name) || heard.size >= view.quorum) continue;
-        if (await this.#pullAll(view, member)) heard.add(member.name);
+        if (sources.has(member.name) || sources.size >= view.quorum) continue;
+        if (await this.#pullFrom(view, member)) sources.add(member.name);
       }
-      if (heard.size < view.quorum) await delay(clock, RETRY_MILLISECONDS);
+      if (sources.size < view.quorum) await delay(clock, RETRY_DELAY_MILLISECONDS);
     }
     if (!this.#isCurrent(view)) return;
-    await journal.keepComplete(self.joined);
+    await journal.persistCompleteFor(self.joined);
     logger.info({
       event: 'filled',
       epoch: view.epoch,
       joined: self.joined,
-      from: [...heard],
+      from: [...sources],
       turns: journal.table.turnCount,
       milliseconds: Math.round(clock.monotonic() - startedAt),
     });
@@ -79,21 +77,26 @@
     return !this.#stopped && this.#view === view;
   }
 
-  /** Takes all rows of one member; returns whether that member holds everything. */
-  async #pullAll(view: StoreView, member: ViewMember): Promise<boolean> {
+  /** Resolves with whether the member was complete and all its rows were stored. */
+  async #pullFrom(view: StoreView, member: ViewMember): Promise<boolean> {
     const { peers, journal, random, logger } = this.#options;
-    const filling = random.hex(FILLING_BYTES);
+    const filling = random.hex(PULL_SESSION_ID_BYTES);
     let offset = 0;
-    let held = heldTurns(journal);
+    let held = storedTurnIds(journal);
     try {
       while (this.#isCurrent(view)) {
         const request = { epoch: view.epoch, filling, offset, held };
-        const answer = await peers.call(member.address, 'turns.pull', request, PAGE_MILLISECONDS);
+        const answer = await peers.call(
+          member.address,
+          'turns.pull',
+          request,
+          PAGE_TIMEOUT_MILLISECONDS,
+        );
         if (answer.kind !== 'rows' || !answer.complete) {
           logger.info({ event: 'filling-put-off', from: member.name, answer: answer.kind });
           return false;
         }
-        await this.#keep(answer);
+        await this.#append(answer);
         if (answer.final) return true;
         offset += answer.rows.length;
         held = [];
@@ -104,12 +107,12 @@
     return false;
   }
 
-  #keep(answer: PullAnswer): Promise<void> {
+  #append(answer: PullAnswer): Promise<void> {
     return this.#options.journal.add(answer.rows);
   }
 }
 
-function heldTurns(journal: TurnJournal): string[] {
+function storedTurnIds(journal: TurnJournal): string[] {
   const held: string[] = [];
   for (const row of journal.table.rows()) {
     if (row.kind === 'turn') held.push(row.record.id);
@@ -117,9 +120,10 @@
   return held;
 }
 
-function othersFirstOfZone(view: StoreView, self: ViewMember): readonly ViewMember[] {
-  const near = (member: ViewMember) => Number(member.availabilityZone === self.availabilityZone);
+function otherMembersNearestFirst(view: StoreView, self: ViewMember): readonly ViewMember[] {
+  const isInSameZone = (member: ViewMember) =>
+    Number(member.availabilityZone === self.availabilityZone);
   return view.members
     .filter((member) => member.name !== self.name)
-    .sort((left, right) => near(right) - near(left));
+    .sort((left, right) => isInSameZone(right) - isInSameZone(left));
 }
--- a/src/turns/index.ts
+++ b/src/turns/index.ts
@@ -1,9 +1,9 @@
-export { type BudgetVerdict, type ReserveOutcome, judgeBudget } from './budget';
+export { type BudgetEvaluation, type ReserveOutcome, evaluateBudget } from './budget';
 export { ChainCache } from './chain-cache';
 export { type ChainLookup, TurnClient, type TurnClientOptions } from './client';
 export type { TurnContract } from './contract';
 export { TurnsUnavailable } from './errors';
-export { Filler } from './filler';
+export { Backfill } from './filler';
 export { TurnJournal } from './journal';
 export { type Reservation, type TurnRecord, type TurnRow, decodeRow, encodeRow } from './records';
 export { TurnStore } from './store';
--- a/src/turns/journal.ts
+++ b/src/turns/journal.ts
@@ -5,41 +5,40 @@
 import { type TurnRow, decodeRow, encodeRow } from './records';
 import { TurnTable } from './table';
 
-/** Bytes of rows after which a snapshot takes their place. */
-const COMPACT_CHARACTERS = 48 * 1024 * 1024;
+/** Characters appended since the last snapshot that trigger the next one. */
+const COMPACTION_THRESHOLD_CHARACTERS = 48 * 1024 * 1024;
 
-const LIFE_BYTES = 8;
+const DATA_LIFE_BYTES = 8;
 
-/** Kind of the lines that tell what a store keeps about itself; the newest one counts. */
-const OWN_LINE = 'own';
+/** Kind of the lines that hold a {@link StoreState}; the last one wins. */
+const STORE_STATE_KIND = 'own';
 
-const ownSchema = z.object({
+const storeStateSchema = z.object({
   dataLife: z.string(),
   completeFor: z.int(),
   view: storeViewSchema.optional(),
 });
 
-/** What a store keeps about itself. */
-interface OwnState {
-  /** Drawn when the data folder was first used. */
+interface StoreState {
+  /** Random id drawn when the data folder is first used. */
   readonly dataLife: string;
-  /** Epoch at which the store joined the view for which it holds everything; 0 for none. */
+  /** The store's `joined` epoch for which its backfill is complete; 0 for none. */
   readonly completeFor: number;
   /** The newest view that the store has served. */
   readonly view?: StoreView | undefined;
 }
 
-/** The durable state of one store: turns and budgets, and what it knows of its own part. */
+/** The durable state of one store: turns, budgets and its membership. */
 export class TurnJournal {
   readonly #store: RecordStore;
   readonly #random: RandomSource;
   readonly #onFailure: (error: unknown) => void;
   readonly table = new TurnTable();
-  #own: OwnState = { dataLife: '', completeFor: 0 };
+  #state: StoreState = { dataLife: '', completeFor: 0 };
   #characters = 0;
   #compacting = false;
 
-  /** `onFailure` is called when the disk refuses a write: what it holds is not known any more. */
+  /** `onFailure` is called when a write fails, after which the content of the disk is unknown. */
   constructor(
     store: RecordStore,
     random: RandomSource,
@@ -53,8 +52,8 @@
   async open(): Promise<void> {
     const { snapshot = [], records } = await this.#store.load();
     for (const text of [...snapshot, ...records]) this.#restore(text);
-    if (this.#own.dataLife !== '') return;
-    await this.#keepOwn({ ...this.#own, dataLife: this.#random.hex(LIFE_BYTES) });
+    if (this.#state.dataLife !== '') return;
+    await this.#persistState({ ...this.#state, dataLife: this.#random.hex(DATA_LIFE_BYTES) });
   }
 
   close(): Promise<void> {
@@ -62,27 +61,27 @@
   }
 
   get dataLife(): string {
-    return this.#own.dataLife;
+    return this.#state.dataLife;
   }
 
   get completeFor(): number {
-    return this.#own.completeFor;
+    return this.#state.completeFor;
   }
 
   get view(): StoreView | undefined {
-    return this.#own.view;
+    return this.#state.view;
   }
 
-  /** Resolves once the view lasts; it is in force in memory at once. */
-  keepView(view: StoreView): Promise<void> {
-    return this.#keepOwn({ ...this.#own, view });
+  /** Takes effect in memory at once; resolves once the view is durable. */
+  persistView(view: StoreView): Promise<void> {
+    return this.#persistState({ ...this.#state, view });
   }
 
-  keepComplete(completeFor: number): Promise<void> {
-    return this.#keepOwn({ ...this.#own, completeFor });
+  persistCompleteFor(completeFor: number): Promise<void> {
+    return this.#persistState({ ...this.#state, completeFor });
   }
 
-  /** Adds rows; they are seen at once and last when the promise resolves. */
+  /** Adds rows, visible at once; resolves once they are durable. */
   add(rows: readonly TurnRow[]): Promise<void> {
     const lines: string[] = [];
     for (const row of rows) {
@@ -91,21 +90,22 @@
     return this.#append(lines);
   }
 
-  async #keepOwn(own: OwnState): Promise<void> {
-    this.#own = own;
-    await this.#append([JSON.stringify([OWN_LINE, own])]);
+  async #persistState(state: StoreState): Promise<void> {
+    this.#state = state;
+    await this.#append([JSON.stringify([STORE_STATE_KIND, state])]);
   }
 
   async #append(lines: readonly string[]): Promise<void> {
     for (const line of lines) this.#characters += line.length;
-    // An empty append waits for those before it, which may hold the same row.
+    // An earlier append may hold the same row and not be durable yet; the no-op line waits for it.
     try {
-      await this.#store.append(lines.length > 0 ? lines : [EMPTY_LINE]);
+      await this.#store.append(lines.length > 0 ? lines : [NO_OP_LINE]);
     } catch (error) {
       this.#onFailure(error);
       throw error;
     }
-    if (this.#characters > COMPACT_CHARACTERS && !this.#compacting) await this.#compact();
+    if (this.#characters > COMPACTION_THRESHOLD_CHARACTERS && !this.#compacting)
+      await this.#compact();
   }
 
   async #compact(): Promise<void> {
@@ -120,17 +120,17 @@
   }
 
   *#snapshot(): Generator<string> {
-    yield JSON.stringify([OWN_LINE, this.#own]);
+    yield JSON.stringify([STORE_STATE_KIND, this.#state]);
     for (const row of this.table.rows()) yield encodeRow(row);
   }
 
   #restore(text: string): void {
-    if (text === EMPTY_LINE) return;
+    if (text === NO_OP_LINE) return;
     const [kind, ...fields] = JSON.parse(text) as readonly unknown[];
-    if (kind === OWN_LINE) this.#own = ownSchema.parse(fields[0]);
+    if (kind === STORE_STATE_KIND) this.#state = storeStateSchema.parse(fields[0]);
     else this.table.apply(decodeRow(kind, fields));
   }
 }
 
-/** Stands for nothing, so that an append can wait for those before it. */
-const EMPTY_LINE = '["none"]';
+/** Line that is ignored when read; appending it waits for the appends before it. */
+const NO_OP_LINE = '["none"]';
--- a/src/turns/pull-sessions.ts
+++ b/src/turns/pull-sessions.ts
@@ -3,18 +3,17 @@
 import type { TurnRow } from './records';
 import type { TurnTable } from './table';
 
-/** Bytes of rows in one answer; larger ones would hold other answers up. */
-const PAGE_BYTES = 256 * 1024;
+/** Size after which a page is closed, so that it does not delay other answers. */
+const PAGE_LIMIT_BYTES = 256 * 1024;
 
-/** Time after which a filling that nobody goes on with is forgotten; milliseconds. */
-const FORGET_MILLISECONDS = 30_000;
+const IDLE_TIMEOUT_MILLISECONDS = 30_000;
 
 interface Session {
   readonly rows: readonly TurnRow[];
   usedAt: number;
 }
 
-/** What other stores are being filled with, page by page. */
+/** Serves the backfills of other stores from a copy of the row list per session. */
 export class PullSessions {
   readonly #table: TurnTable;
   readonly #clock: Clock;
@@ -25,17 +24,17 @@
     this.#clock = clock;
   }
 
-  /** The rows from an offset on; those that come later reach the asker by themselves. */
-  take({ filling, offset, held }: PullRequest): {
+  /** Rows added after the session began are left out: the requester receives them as a member. */
+  readPage({ filling, offset, held }: PullRequest): {
     readonly rows: readonly TurnRow[];
     readonly final: boolean;
   } {
-    this.#forget();
+    this.#evictIdle();
     const session = this.#sessions.get(filling) ?? { rows: this.#rowsWithout(held), usedAt: 0 };
     session.usedAt = this.#clock.monotonic();
     this.#sessions.set(filling, session);
     let end = offset;
-    for (let bytes = 0; end < session.rows.length && bytes < PAGE_BYTES; end += 1) {
+    for (let bytes = 0; end < session.rows.length && bytes < PAGE_LIMIT_BYTES; end += 1) {
       bytes += sizeOf(session.rows[end]);
     }
     const final = end >= session.rows.length;
@@ -43,26 +42,26 @@
   }
 
   #rowsWithout(held: readonly string[]): readonly TurnRow[] {
-    const known = new Set(held);
+    const excluded = new Set(held);
     const rows: TurnRow[] = [];
     for (const row of this.#table.rows()) {
-      if (row.kind === 'budget' || !known.has(row.record.id)) rows.push(row);
+      if (row.kind === 'budget' || !excluded.has(row.record.id)) rows.push(row);
     }
     return rows;
   }
 
-  #forget(): void {
-    const since = this.#clock.monotonic() - FORGET_MILLISECONDS;
+  #evictIdle(): void {
+    const since = this.#clock.monotonic() - IDLE_TIMEOUT_MILLISECONDS;
     for (const [filling, { usedAt }] of this.#sessions) {
       if (usedAt < since) this.#sessions.delete(filling);
     }
   }
 }
 
-/** Bytes that a row takes besides its bodies, roughly. */
-const ROW_BYTES = 200;
+/** Estimated size of a row besides the input and output of its turn; bytes. */
+const ROW_OVERHEAD_BYTES = 200;
 
 function sizeOf(row: TurnRow | undefined): number {
-  if (row?.kind !== 'turn') return ROW_BYTES * (1 + (row?.reservations.length ?? 0));
-  return ROW_BYTES + row.record.input.length + row.record.output.length;
+  if (row?.kind !== 'turn') return ROW_OVERHEAD_BYTES * (1 + (row?.reservations.length ?? 0));
+  return ROW_OVERHEAD_BYTES + row.record.input.length + row.record.output.length;
 }
--- a/src/turns/quorum.ts
+++ b/src/turns/quorum.ts
@@ -1,152 +1,152 @@
 import type { StoreView, ViewMember } from '../cluster';
 import type { CancelTimer, Clock } from '../core';
 
-/** What a round of questions to the members of a view has brought so far. */
-export interface Round<Answer> {
+/** Result of one query to several members of a view. */
+export interface QueryRound<Answer> {
   readonly answers: readonly Answer[];
-  /** Members that have failed or did not answer in time. */
+  /** One line per failed member: its name and the error. */
   readonly failures: readonly string[];
-  /** Names of the members that have neither answered nor failed. */
-  readonly waiting: readonly string[];
+  /** Names of the queried members that have neither answered nor failed. */
+  readonly pending: readonly string[];
 }
 
-export interface RoundOptions<Answer> {
+export interface QueryRoundOptions<Answer> {
   readonly view: StoreView;
   readonly clock: Clock;
-  readonly ask: (member: ViewMember) => Promise<Answer>;
-  /** Whether a round is decided: nothing that still comes could change its use. */
-  readonly isEnough: (answers: readonly Answer[]) => boolean;
-  /** Longest wait for the rest once enough have answered; milliseconds, 0 for none. */
-  readonly graceMilliseconds: number;
-  /** Whether a member that has not answered yet is worth that wait. */
-  readonly isExpected?: (member: ViewMember) => boolean;
+  readonly query: (member: ViewMember) => Promise<Answer>;
+  /** Whether the answers suffice; the round then ends, or waits for stragglers only. */
+  readonly isDecided: (answers: readonly Answer[]) => boolean;
+  /** Maximum wait for further answers once the round is decided; milliseconds, 0 for none. */
+  readonly stragglerWaitMilliseconds: number;
+  /** Whether that wait includes a pending member; all are included by default. */
+  readonly isResponsive?: (member: ViewMember) => boolean;
   readonly describeFailure: (error: unknown) => string;
-  /** Which members are asked first; all are asked at once where it is left out. */
-  readonly preference?: Preference | undefined;
+  /** Without it, all members are queried at once. */
+  readonly hedging?: Hedging | undefined;
 }
 
-/** An order in which the members of a view are asked. */
-export interface Preference {
+/** Queries some members first and hedges with the others. */
+export interface Hedging {
   readonly order: readonly ViewMember[];
-  /** Members that are asked at once; another is asked for each that fails. */
-  readonly first: number;
-  /** Time after which all others are asked too, while not enough have answered; milliseconds. */
-  readonly staggerMilliseconds: number;
+  /** Number of members that are queried at once; another one is queried for each failure. */
+  readonly initialCount: number;
+  /** Delay after which all other members are queried, if the round has not ended; milliseconds. */
+  readonly hedgeDelayMilliseconds: number;
 }
 
-/**
- * Asks members of a view, all at once or the first ones of an order first; resolves when enough have
- * answered, or none is left.
- */
-export function askMembers<Answer>(options: RoundOptions<Answer>): Promise<Round<Answer>> {
-  const { view, clock, ask, isEnough, graceMilliseconds, describeFailure, preference } = options;
-  const { isExpected = () => true } = options;
-  const { order, first, staggerMilliseconds } = preference ?? {
+/** Queries members of a view; resolves when the round is decided or no member is left. */
+export function queryMembers<Answer>(
+  options: QueryRoundOptions<Answer>,
+): Promise<QueryRound<Answer>> {
+  const { view, clock, query, isDecided, stragglerWaitMilliseconds, describeFailure, hedging } =
+    options;
+  const { isResponsive = () => true } = options;
+  const { order, initialCount, hedgeDelayMilliseconds } = hedging ?? {
     order: view.members,
-    first: view.members.length,
-    staggerMilliseconds: 0,
+    initialCount: view.members.length,
+    hedgeDelayMilliseconds: 0,
   };
   return new Promise((resolve) => {
     const answers: Answer[] = [];
     const failures: string[] = [];
-    const outstanding = new Set<ViewMember>();
-    let asked = 0;
-    let cancelGrace: CancelTimer | undefined;
-    let cancelStagger: CancelTimer | undefined;
+    const pending = new Set<ViewMember>();
+    let queriedCount = 0;
+    let cancelStragglerWait: CancelTimer | undefined;
+    let cancelHedge: CancelTimer | undefined;
     const finish = () => {
-      asked = order.length;
-      cancelGrace?.();
-      cancelStagger?.();
-      const waiting = [...outstanding].map(({ name }) => name);
-      resolve({ answers: [...answers], failures: [...failures], waiting });
+      queriedCount = order.length;
+      cancelStragglerWait?.();
+      cancelHedge?.();
+      const pendingNames = [...pending].map(({ name }) => name);
+      resolve({ answers: [...answers], failures: [...failures], pending: pendingNames });
     };
-    const judge = () => {
-      if (isEnough(answers)) {
-        const waits = graceMilliseconds > 0 && [...outstanding].some(isExpected);
-        if (!waits) finish();
-        else cancelGrace ??= clock.after(graceMilliseconds, finish);
-      } else if (outstanding.size === 0 && asked < order.length) askUpTo(order.length);
-      else if (outstanding.size === 0) finish();
+    const evaluate = () => {
+      if (isDecided(answers)) {
+        const awaitsStragglers = stragglerWaitMilliseconds > 0 && [...pending].some(isResponsive);
+        if (!awaitsStragglers) finish();
+        else cancelStragglerWait ??= clock.after(stragglerWaitMilliseconds, finish);
+      } else if (pending.size === 0 && queriedCount < order.length) queryUpTo(order.length);
+      else if (pending.size === 0) finish();
     };
-    const askOne = (member: ViewMember) => {
-      outstanding.add(member);
-      ask(member).then(
+    const queryOne = (member: ViewMember) => {
+      pending.add(member);
+      query(member).then(
         (answer) => {
-          outstanding.delete(member);
+          pending.delete(member);
           answers.push(answer);
-          judge();
+          evaluate();
         },
         (error: unknown) => {
-          outstanding.delete(member);
+          pending.delete(member);
           failures.push(`${member.name}: ${describeFailure(error)}`);
-          askUpTo(asked + 1);
-          judge();
+          queryUpTo(queriedCount + 1);
+          evaluate();
         },
       );
     };
-    const askUpTo = (count: number) => {
-      const members = order.slice(asked, count);
-      asked += members.length;
-      members.forEach(askOne);
+    const queryUpTo = (count: number) => {
+      const members = order.slice(queriedCount, count);
+      queriedCount += members.length;
+      members.forEach(queryOne);
     };
-    askUpTo(first);
-    if (asked < order.length) {
-      cancelStagger = clock.after(staggerMilliseconds, () => {
-        askUpTo(order.length);
+    queryUpTo(initialCount);
+    if (queriedCount < order.length) {
+      cancelHedge = clock.after(hedgeDelayMilliseconds, () => {
+        queryUpTo(order.length);
       });
     }
   });
 }
 
-export interface InTurnOptions<Answer, Result> {
+export interface OrderedQueryOptions<Answer, Result> {
   readonly members: readonly ViewMember[];
   readonly clock: Clock;
-  /** Time after which the next member is asked too, while one is silent; milliseconds. */
-  readonly staggerMilliseconds: number;
-  readonly ask: (member: ViewMember) => Promise<Answer>;
-  /** Takes an answer; returns what is decided by now, or nothing if another member is needed. */
+  /** Delay after which the next member is queried while one is pending; milliseconds. */
+  readonly hedgeDelayMilliseconds: number;
+  readonly query: (member: ViewMember) => Promise<Answer>;
+  /** Returns the result, or `undefined` if another member must be queried. */
   readonly decide: (answer: Answer, member: ViewMember) => Result | undefined;
   readonly onFailure: (error: unknown, member: ViewMember) => void;
 }
 
-/** Asks member after member until one answer decides; resolves with nothing if none does. */
-export function askInTurn<Answer, Result>(
-  options: InTurnOptions<Answer, Result>,
+/** Queries members one after another, hedged; resolves with `undefined` if no answer decides. */
+export function queryInOrder<Answer, Result>(
+  options: OrderedQueryOptions<Answer, Result>,
 ): Promise<Result | undefined> {
-  const { members, clock, staggerMilliseconds, ask, decide, onFailure } = options;
+  const { members, clock, hedgeDelayMilliseconds, query, decide, onFailure } = options;
   return new Promise((resolve) => {
-    let asked = 0;
-    let open = 0;
-    let cancelStagger: CancelTimer = () => undefined;
+    let queriedCount = 0;
+    let pendingCount = 0;
+    let cancelHedge: CancelTimer = () => undefined;
     const finish = (result: Result | undefined) => {
-      asked = members.length;
-      cancelStagger();
+      queriedCount = members.length;
+      cancelHedge();
       resolve(result);
     };
-    const askNext = () => {
-      cancelStagger();
-      const member = members[asked];
+    const queryNext = () => {
+      cancelHedge();
+      const member = members[queriedCount];
       if (member === undefined) {
-        if (open === 0) finish(undefined);
+        if (pendingCount === 0) finish(undefined);
         return;
       }
-      asked += 1;
-      open += 1;
-      ask(member).then(
+      queriedCount += 1;
+      pendingCount += 1;
+      query(member).then(
         (answer) => {
-          open -= 1;
+          pendingCount -= 1;
           const result = decide(answer, member);
-          if (result === undefined) askNext();
+          if (result === undefined) queryNext();
           else finish(result);
         },
         (error: unknown) => {
-          open -= 1;
+          pendingCount -= 1;
           onFailure(error, member);
-          askNext();
+          queryNext();
         },
       );
-      cancelStagger = clock.after(staggerMilliseconds, askNext);
+      cancelHedge = clock.after(hedgeDelayMilliseconds, queryNext);
     };
-    askNext();
+    queryNext();
   });
 }
--- a/src/turns/records.ts
+++ b/src/turns/records.ts
@@ -1,44 +1,43 @@
-/** One whole turn: what the caller sent and what the engine answered. */
+/** A completed turn: the caller's input and the engine's output. */
 export interface TurnRecord {
   readonly id: string;
   readonly program: string;
-  /** The turn that this one continues; nothing at the start of a chain. */
+  /** The turn that this one continues; `undefined` at the start of a chain. */
   readonly previous: string | undefined;
   readonly input: Buffer;
-  /** The data of each event, each with a line feed after it. */
+  /** The data of each streamed event, each terminated by a line feed. */
   readonly output: Buffer;
-  /** Tokens that were generated. */
+  /** Generated tokens. */
   readonly tokens: number;
-  /** Tokens that its engine holds of it and its chain: the whole prompt and what was generated. */
+  /** Tokens of the whole prompt, including the chain, and of the output. */
   readonly contextTokens: number;
-  /** Wall time of its end, milliseconds since the Unix epoch. */
+  /** Wall-clock time, milliseconds since the Unix epoch. */
   readonly endedAt: number;
-  /** Seconds for which it and its chain are to be kept. */
+  /** Seconds after `endedAt` for which the turn and its chain are kept. */
   readonly retentionSeconds: number;
-  /** Identity of the engine that holds its cache. */
+  /** Target whose engine has the turn in its prefix cache. */
   readonly target: string;
 }
 
-/** What a turn takes of its program's budget. */
+/** A turn's share of its program's budget. */
 export interface Reservation {
   readonly turn: string;
-  /** Tokens: the most it may generate until it is settled, then what it did. */
+  /** The maximum that the turn may generate; once settled, what it generated. */
   readonly tokens: number;
   readonly settled: boolean;
 }
 
-/** One thing that a store keeps, in the order in which it was taken. */
 export type TurnRow =
   | { readonly kind: 'turn'; readonly record: TurnRecord }
   | {
       readonly kind: 'budget';
       readonly program: string;
       readonly reservations: readonly Reservation[];
-      /** Wall time of the last change, milliseconds since the Unix epoch. */
+      /** Wall-clock time, milliseconds since the Unix epoch. */
       readonly changedAt: number;
     };
 
-/** A turn's line: id, program, the turn before it, numbers, target, input and output. */
+/** Fields of a turn's line; `previous` is empty at the start of a chain. */
 type TurnLine = readonly [
   id: string,
   program: string,
@@ -52,14 +51,13 @@
   output: string,
 ];
 
-/** A budget's line: program, time of the last change, reservations. */
 type BudgetLine = readonly [
   program: string,
   changedAt: number,
   reservations: readonly (readonly [turn: string, tokens: number, settled: boolean])[],
 ];
 
-/** Renders a row as one line; bytes become one character each. */
+/** Encodes a row as one line of JSON; binary fields are Latin-1 text, one character per byte. */
 export function encodeRow(row: TurnRow): string {
   if (row.kind === 'budget') {
     const entries = row.reservations.map(({ turn, tokens, settled }) => [turn, tokens, settled]);
@@ -82,8 +80,8 @@
 }
 
 /**
- * Reads a line that {@link encodeRow} wrote: its kind and what follows. The file's checksums and
- * format vouch for its form; a schema would take a third of a store's time to start.
+ * Decodes a line of {@link encodeRow}, given its kind and remaining fields. Not validated against a
+ * schema, for a fast start: the file's checksum guards its content.
  */
 export function decodeRow(kind: unknown, fields: readonly unknown[]): TurnRow {
   return kind === 'turn'
--- a/src/turns/store-watch.ts
+++ b/src/turns/store-watch.ts
@@ -2,41 +2,41 @@
 import { type Clock, type Component, type Logger, PeriodicTask, messageOf } from '../core';
 import type { Caller } from '../link';
 import type { TurnContract } from './contract';
-import { askMembers } from './quorum';
+import { queryMembers } from './quorum';
 
-/** Pause between looks; milliseconds. */
-const LOOK_MILLISECONDS = 400;
+const PROBE_INTERVAL_MILLISECONDS = 400;
 
-/** Pause between looks while the stores are out of reach, as after a start; milliseconds. */
-const SEEKING_MILLISECONDS = 100;
+/** Interval while no quorum is reachable, as after a start. */
+const UNREACHABLE_PROBE_INTERVAL_MILLISECONDS = 100;
 
-/** Longest wait for a store's answer to a look; milliseconds. */
-const ANSWER_MILLISECONDS = 350;
+const PROBE_TIMEOUT_MILLISECONDS = 350;
 
-/** Looks in a row that must fail before the stores count as out of reach. */
-const FAILED_LOOKS = 2;
+/** Consecutive failed probes after which the quorum is unreachable. */
+const FAILURE_THRESHOLD = 2;
 
-/** No program has this name, so a look finds nothing and changes nothing. */
-const NO_PROGRAM = '';
+/** No program has this name, so a probe reads an empty list. */
+const PROBE_PROGRAM = '';
 
-export interface StoreWatchOptions {
+export interface QuorumMonitorOptions {
   readonly view: Newest<StoreView>;
   readonly peers: Caller<TurnContract>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** Knows whether a quorum of the stores can be reached, with or without turns under way. */
+/** Tracks whether a quorum of the stores is reachable, by probes and by the traffic of turns. */
 export class StoreWatch implements Component {
-  readonly #options: StoreWatchOptions;
+  readonly #options: QuorumMonitorOptions;
   readonly #task: PeriodicTask;
   #succeededAt = -Infinity;
-  #lookedAt = -Infinity;
-  #failures = FAILED_LOOKS;
+  #probedAt = -Infinity;
+  #failures = FAILURE_THRESHOLD;
 
-  constructor(options: StoreWatchOptions) {
+  constructor(options: QuorumMonitorOptions) {
     this.#options = options;
-    this.#task = new PeriodicTask(options.clock, SEEKING_MILLISECONDS, () => this.#look());
+    this.#task = new PeriodicTask(options.clock, UNREACHABLE_PROBE_INTERVAL_MILLISECONDS, () =>
+      this.#probeIfDue(),
+    );
   }
 
   start(): void {
@@ -48,48 +48,48 @@
   }
 
   get reachesQuorum(): boolean {
-    return this.#failures < FAILED_LOOKS;
+    return this.#failures < FAILURE_THRESHOLD;
   }
 
-  /** Notes that a quorum has answered. */
-  noteSuccess(): void {
+  /** Called after a quorum has answered. */
+  recordSuccess(): void {
     this.#succeededAt = this.#options.clock.monotonic();
     if (!this.reachesQuorum) this.#options.logger.info({ event: 'stores-reached' });
     this.#failures = 0;
   }
 
-  /** Asks the stores unless a turn has shown just now that they answer. */
-  async #look(): Promise<void> {
+  /** Skips the probe if a quorum has answered within the interval. */
+  async #probeIfDue(): Promise<void> {
     const { view, clock } = this.#options;
     const now = clock.monotonic();
-    const lastAt = Math.max(this.#succeededAt, this.#lookedAt);
-    if (this.reachesQuorum && now - lastAt < LOOK_MILLISECONDS) return;
-    this.#lookedAt = now;
+    const lastAt = Math.max(this.#succeededAt, this.#probedAt);
+    if (this.reachesQuorum && now - lastAt < PROBE_INTERVAL_MILLISECONDS) return;
+    this.#probedAt = now;
     const present = view.value;
-    const reached = present !== undefined && (await this.#reaches(present));
-    if (reached) {
-      this.noteSuccess();
+    const isReached = present !== undefined && (await this.#probe(present));
+    if (isReached) {
+      this.recordSuccess();
       return;
     }
     this.#failures += 1;
-    if (this.#failures !== FAILED_LOOKS) return;
+    if (this.#failures !== FAILURE_THRESHOLD) return;
     this.#options.logger.warn({ event: 'stores-out-of-reach', epoch: present?.epoch });
   }
 
-  async #reaches(view: StoreView): Promise<boolean> {
+  async #probe(view: StoreView): Promise<boolean> {
     const { peers, clock } = this.#options;
-    const round = await askMembers({
+    const round = await queryMembers({
       view,
       clock,
-      graceMilliseconds: 0,
-      isEnough: (answers) => answers.length >= view.quorum,
+      stragglerWaitMilliseconds: 0,
+      isDecided: (answers) => answers.length >= view.quorum,
       describeFailure: messageOf,
-      ask: ({ address }) =>
+      query: ({ address }) =>
         peers.call(
           address,
           'turns.reservations',
-          { epoch: view.epoch, program: NO_PROGRAM },
-          ANSWER_MILLISECONDS,
+          { epoch: view.epoch, program: PROBE_PROGRAM },
+          PROBE_TIMEOUT_MILLISECONDS,
         ),
     });
     return round.answers.length >= view.quorum;
--- a/src/turns/store.ts
+++ b/src/turns/store.ts
@@ -20,37 +20,36 @@
   TurnContract,
   ViewMismatch,
 } from './contract';
-import type { Filler } from './filler';
+import type { Backfill } from './filler';
 import type { TurnJournal } from './journal';
 import { PullSessions } from './pull-sessions';
 
-/** Pause between sweeps of what has expired; milliseconds. */
-const EXPIRE_MILLISECONDS = 10_000;
+const EXPIRY_INTERVAL_MILLISECONDS = 10_000;
 
 export interface TurnStoreOptions {
   /** Name of this host. */
   readonly self: string;
   readonly journal: TurnJournal;
-  readonly filler: Filler;
+  readonly backfill: Backfill;
   readonly view: Newest<StoreView>;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Keeps turns and budgets on one host, in the views that it is a member of. */
+/** Serves turns and budgets of one host, in the views that it is a member of. */
 export class TurnStore implements Component {
   readonly #options: TurnStoreOptions;
-  readonly #pulls: PullSessions;
-  readonly #expiry: PeriodicTask;
+  readonly #pullSessions: PullSessions;
+  readonly #expiryTask: PeriodicTask;
   #view: StoreView | undefined;
-  #adopting: Promise<void> = Promise.resolve();
+  #viewPersisted: Promise<void> = Promise.resolve();
 
   constructor(options: TurnStoreOptions) {
     this.#options = options;
     const { journal, clock, view } = options;
-    this.#pulls = new PullSessions(journal.table, clock);
-    this.#expiry = new PeriodicTask(clock, EXPIRE_MILLISECONDS, () => {
+    this.#pullSessions = new PullSessions(journal.table, clock);
+    this.#expiryTask = new PeriodicTask(clock, EXPIRY_INTERVAL_MILLISECONDS, () => {
       this.#expire();
     });
     view.onChange((value) => {
@@ -62,12 +61,12 @@
   start(): void {
     const { journal, view } = this.#options;
     if (journal.view !== undefined) view.offer(journal.view);
-    this.#expiry.start();
+    this.#expiryTask.start();
   }
 
   async stop(): Promise<void> {
-    this.#expiry.stop();
-    this.#options.filler.stop();
+    this.#expiryTask.stop();
+    this.#options.backfill.stop();
     await this.#options.journal.close();
   }
 
@@ -75,7 +74,7 @@
     return {
       'turns.reserve': (request) => this.#reserve(request),
       'turns.reservations': ({ epoch, program }) =>
-        this.#inView(epoch, () => this.#reservations(program)),
+        this.#inCurrentView(epoch, () => this.#reservations(program)),
       'turns.record': (request) => this.#record(request),
       'turns.chain': (request) => this.#chain(request),
       'turns.pull': (request) => this.#pull(request),
@@ -90,16 +89,17 @@
     };
   }
 
-  /** From this moment no request of an older view is served; the view lasts before any answer. */
+  /** Rejects requests of older views at once; requests of this one wait until it is durable. */
   #adopt(view: StoreView): void {
-    const { journal, filler, logger } = this.#options;
+    const { journal, backfill, logger } = this.#options;
     if (view.epoch <= (this.#view?.epoch ?? 0)) return;
     this.#view = view;
-    const kept = view.epoch === journal.view?.epoch ? Promise.resolve() : journal.keepView(view);
-    this.#adopting = Promise.all([this.#adopting, kept]).then(() => undefined);
-    this.#adopting.then(
+    const persisted =
+      view.epoch === journal.view?.epoch ? Promise.resolve() : journal.persistView(view);
+    this.#viewPersisted = Promise.all([this.#viewPersisted, persisted]).then(() => undefined);
+    this.#viewPersisted.then(
       () => {
-        filler.fill(view);
+        backfill.start(view);
       },
       (error: unknown) => {
         logger.error({ event: 'view-not-kept', epoch: view.epoch, error: messageOf(error) });
@@ -107,18 +107,18 @@
     );
   }
 
-  /** Runs `act` if the asker's view is the present one. */
-  async #inView<Answer>(
+  /** Runs `serve` if the requested epoch is that of the current view and the view is durable. */
+  async #inCurrentView<Answer>(
     epoch: number,
-    act: () => Answer | Promise<Answer>,
+    serve: () => Answer | Promise<Answer>,
   ): Promise<Answer | ViewMismatch> {
     const view = this.#view;
     if (view === undefined || view.epoch < epoch) return { kind: 'behind' };
     if (view.epoch > epoch) return { kind: 'stale', view };
     if (!this.#isMember(view)) return { kind: 'behind' };
-    await this.#adopting;
+    await this.#viewPersisted;
     if (this.#view !== view) return { kind: 'stale', view: this.#view ?? view };
-    return act();
+    return serve();
   }
 
   #isMember(view: StoreView): boolean {
@@ -140,7 +140,7 @@
     turn,
     most,
   }: ReserveRequest): Promise<ReservationsAnswer | ViewMismatch> {
-    return this.#inView(epoch, async () => {
+    return this.#inCurrentView(epoch, async () => {
       const { journal, clock } = this.#options;
       const reservations = [{ turn, tokens: most, settled: false }];
       await journal.add([{ kind: 'budget', program, reservations, changedAt: clock.now() }]);
@@ -154,7 +154,7 @@
   }
 
   #record({ epoch, record }: RecordRequest): Promise<{ readonly kind: 'kept' } | ViewMismatch> {
-    return this.#inView(epoch, async () => {
+    return this.#inCurrentView(epoch, async () => {
       await this.#options.journal.add([{ kind: 'turn', record }]);
       return { kind: 'kept' } as const;
     });
@@ -171,15 +171,15 @@
   }
 
   #chain({ epoch, turn }: ChainRequest): Promise<ChainAnswer | ViewMismatch> {
-    return this.#inView(epoch, () => {
+    return this.#inCurrentView(epoch, () => {
       const { records, missing } = this.#options.journal.table.chain(turn);
       return { kind: 'chain', complete: this.#isComplete, records, missing } as const;
     });
   }
 
   #pull(request: PullRequest): Promise<PullAnswer | ViewMismatch> {
-    return this.#inView(request.epoch, () => {
-      const { rows, final } = this.#pulls.take(request);
+    return this.#inCurrentView(request.epoch, () => {
+      const { rows, final } = this.#pullSessions.readPage(request);
       return { kind: 'rows', complete: this.#isComplete, rows, final } as const;
     });
   }
--- a/src/turns/table.ts
+++ b/src/turns/table.ts
@@ -1,12 +1,9 @@
 import type { Reservation, TurnRecord, TurnRow } from './records';
 
-/**
- * Time beyond the retention for which turns and budgets are kept, since hosts disagree on the time
- * of day by seconds and programs go on for some time; milliseconds.
- */
-const MARGIN_MILLISECONDS = 60_000;
+/** Time beyond the retention for which rows are kept, for clock skew and continuing programs. */
+const RETENTION_MARGIN_MILLISECONDS = 60_000;
 
-/** Retention of a budget whose program has no whole turn yet; seconds. */
+/** Retention of a budget whose program has no completed turn yet. */
 const DEFAULT_RETENTION_SECONDS = 60;
 
 interface ProgramBudget {
@@ -15,15 +12,15 @@
   retentionSeconds: number;
 }
 
-/** A chain as far as a store holds it. */
+/** The part of a chain that one store holds. */
 export interface StoredChain {
-  /** Oldest first; empty if the turn that was asked for is not here. */
+  /** Oldest first; empty if the requested turn is absent. */
   readonly records: readonly TurnRecord[];
-  /** The turn that is not here and that the oldest record, or the asker, names. */
+  /** Id of the absent turn that the oldest record continues, or that was requested. */
   readonly missing: string | undefined;
 }
 
-/** The turns and budgets that one store holds. Rows may arrive in any order and more than once. */
+/** In-memory turns and budgets of a store. Rows may be applied in any order and repeatedly. */
 export class TurnTable {
   readonly #turns = new Map<string, TurnRecord>();
   readonly #budgets = new Map<string, ProgramBudget>();
@@ -36,22 +33,21 @@
     return this.#turns.has(turn);
   }
 
-  /** Takes a row; returns whether it told anything new. */
+  /** Returns whether the row changed anything. */
   apply(row: TurnRow): boolean {
     if (row.kind === 'turn') return this.#addTurn(row.record);
     let changed = false;
     for (const reservation of row.reservations) {
-      changed = this.#reserve(row.program, reservation, row.changedAt) || changed;
+      changed = this.#applyReservation(row.program, reservation, row.changedAt) || changed;
     }
     return changed;
   }
 
-  /** What the turns of a program take of its budget. */
   reservations(program: string): readonly Reservation[] {
     return [...(this.#budgets.get(program)?.reservations.values() ?? [])];
   }
 
-  /** The chain that ends with a turn. */
+  /** The chain that ends with the given turn. */
   chain(turn: string): StoredChain {
     const records: TurnRecord[] = [];
     for (let id: string | undefined = turn; id !== undefined;) {
@@ -63,7 +59,7 @@
     return { records: records.reverse(), missing: undefined };
   }
 
-  /** All rows, as they are when they are read. */
+  /** Iterates over the live rows: changes made meanwhile may be seen. */
   *rows(): Generator<TurnRow> {
     for (const [program, { reservations, changedAt }] of this.#budgets) {
       yield { kind: 'budget', program, changedAt, reservations: [...reservations.values()] };
@@ -71,7 +67,7 @@
     for (const record of this.#turns.values()) yield { kind: 'turn', record };
   }
 
-  /** Drops what nobody may ask for any more; returns the number of turns dropped. */
+  /** Removes rows past their retention; `now` is wall-clock time. Returns the count of turns. */
   expire(now: number): number {
     const live = this.#liveTurns(now);
     const before = this.#turns.size;
@@ -79,17 +75,19 @@
       if (!live.has(id)) this.#turns.delete(id);
     }
     for (const [program, budget] of this.#budgets) {
-      const keptUntil = budget.changedAt + budget.retentionSeconds * 1000 + MARGIN_MILLISECONDS;
+      const keptUntil =
+        budget.changedAt + budget.retentionSeconds * 1000 + RETENTION_MARGIN_MILLISECONDS;
       if (keptUntil < now) this.#budgets.delete(program);
     }
     return before - this.#turns.size;
   }
 
-  /** A turn is kept with all that it continues. */
+  /** Ids of the turns within their retention and of all their ancestors. */
   #liveTurns(now: number): ReadonlySet<string> {
     const live = new Set<string>();
     for (const record of this.#turns.values()) {
-      const keptUntil = record.endedAt + record.retentionSeconds * 1000 + MARGIN_MILLISECONDS;
+      const keptUntil =
+        record.endedAt + record.retentionSeconds * 1000 + RETENTION_MARGIN_MILLISECONDS;
       if (keptUntil < now) continue;
       for (
         let ancestor: TurnRecord | undefined = record;
@@ -104,7 +102,7 @@
 
   #addTurn(record: TurnRecord): boolean {
     const { id, program, tokens, endedAt, retentionSeconds } = record;
-    this.#reserve(program, { turn: id, tokens, settled: true }, endedAt);
+    this.#applyReservation(program, { turn: id, tokens, settled: true }, endedAt);
     const budget = this.#budgets.get(program);
     if (budget !== undefined) {
       budget.retentionSeconds = Math.max(budget.retentionSeconds, retentionSeconds);
@@ -114,8 +112,8 @@
     return true;
   }
 
-  /** What is settled stays so, whatever arrives later. */
-  #reserve(program: string, reservation: Reservation, at: number): boolean {
+  /** A settled reservation is final. */
+  #applyReservation(program: string, reservation: Reservation, at: number): boolean {
     const budget = this.#budgets.get(program) ?? {
       reservations: new Map<string, Reservation>(),
       changedAt: at,
--- a/src/turns/tests/epochs.test.ts
+++ b/src/turns/tests/epochs.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
 import { MemoryDisk } from '../../storage/tests/disk';
-import { Filler, TurnJournal, TurnStore } from '..';
+import { Backfill, TurnJournal, TurnStore } from '..';
 
 const RECORD = {
   id: 't1',
@@ -27,13 +27,13 @@
   await journal.open();
   const view = new Newest<StoreView>(({ epoch }) => epoch);
   const peers = {
-    call: () => Promise.reject(new Error('nobody else is there')),
+    call: () => Promise.reject(new Error('no other stores')),
     cast: () => undefined,
     isConnected: () => false,
   };
-  const filler = new Filler({ self: 's1', journal, peers, clock, random, logger });
-  const parts = { self: 's1', journal, filler, view, clock, logger };
-  const store = new TurnStore({ ...parts, metrics: new Metrics() });
+  const backfill = new Backfill({ self: 's1', journal, peers, clock, random, logger });
+  const options = { self: 's1', journal, backfill, view, clock, logger };
+  const store = new TurnStore({ ...options, metrics: new Metrics() });
   store.start();
   return { store, view, journal };
 }
@@ -43,16 +43,16 @@
   return { epoch, members: [self], quorum: 1 };
 }
 
-describe('a store and the epochs of the stores in use', () => {
-  describe('asked in an older epoch than its own', () => {
-    it('refuses and tells the newer view', async () => {
+describe('a store and the epoch of its view', () => {
+  describe('when a request names an older epoch', () => {
+    it('rejects the request and returns the newer view', async () => {
       const { store, view, journal } = await createStore(new MemoryDisk());
       view.offer(viewOf(2, journal.dataLife));
       const answer = await store.calls['turns.record']?.({ epoch: 1, record: RECORD });
       expect(answer).toMatchObject({ kind: 'stale', view: { epoch: 2 } });
     });
 
-    it('refuses after a loss of power as well', async () => {
+    it('rejects the request after a power loss as well', async () => {
       const disk = new MemoryDisk();
       const first = await createStore(disk);
       first.view.offer(viewOf(2, first.journal.dataLife));
@@ -64,18 +64,18 @@
     });
   });
 
-  describe('that came back without its disk', () => {
-    it('takes no part under its former life', async () => {
+  describe('restarted with an empty disk', () => {
+    it('does not serve a view that names its former dataLife', async () => {
       const disk = new MemoryDisk();
       const { store, view } = await createStore(disk);
-      view.offer(viewOf(1, 'another life'));
+      view.offer(viewOf(1, 'another-life'));
       const answer = await store.calls['turns.record']?.({ epoch: 1, record: RECORD });
       expect(answer).toEqual({ kind: 'behind' });
     });
   });
 
-  describe('whose disk refuses writes', () => {
-    it('fails the requests and goes on', async () => {
+  describe('when disk writes fail', () => {
+    it('rejects the request with the write error', async () => {
       const disk = new MemoryDisk();
       const { store, view, journal } = await createStore(disk);
       view.offer(viewOf(1, journal.dataLife));
--- a/src/turns/tests/quorum.test.ts
+++ b/src/turns/tests/quorum.test.ts
@@ -1,151 +1,158 @@
 import type { StoreView, ViewMember } from '../../cluster';
 import { ManualClock } from '../../core/tests/manual-clock';
-import { holdersFirst } from '../copies';
-import { askInTurn, askMembers } from '../quorum';
+import { rankReplicas } from '../copies';
+import { queryInOrder, queryMembers } from '../quorum';
 import { SAMPLE_VIEW } from './sample-view';
-import { settle } from './store-cluster';
+import { flushEventLoop } from './store-cluster';
 
-const GRACE_MILLISECONDS = 12;
-const STAGGER_MILLISECONDS = 25;
+const STRAGGLER_WAIT_MILLISECONDS = 12;
+const HEDGE_DELAY_MILLISECONDS = 25;
 
-/** Answers with a member's own name, but never as the silent one. */
-function askAllBut(silent: string) {
+/** Every member but one answers with its own name; the call to that one stays pending. */
+function answerAllExcept(unresponsive: string) {
   return ({ name }: ViewMember): Promise<string> =>
-    name === silent ? new Promise<string>(() => undefined) : Promise.resolve(name);
+    name === unresponsive ? new Promise<string>(() => undefined) : Promise.resolve(name);
 }
 
-describe('a round of questions to all stores', () => {
+describe('queryMembers without hedging', () => {
   const [first, ...others] = SAMPLE_VIEW.members.map(({ name }) => name);
 
-  const ask = async (isExpected: boolean) => {
+  const query = async (isResponsive: boolean) => {
     const clock = new ManualClock();
     let endedAt: number | undefined;
-    void askMembers<string>({
+    void queryMembers<string>({
       view: SAMPLE_VIEW,
       clock,
-      ask: askAllBut(first ?? ''),
-      isEnough: (answers) => answers.length >= SAMPLE_VIEW.quorum,
-      graceMilliseconds: GRACE_MILLISECONDS,
-      isExpected: () => isExpected,
+      query: answerAllExcept(first ?? ''),
+      isDecided: (answers) => answers.length >= SAMPLE_VIEW.quorum,
+      stragglerWaitMilliseconds: STRAGGLER_WAIT_MILLISECONDS,
+      isResponsive: () => isResponsive,
       describeFailure: String,
-    }).then(({ answers, waiting }) => {
+    }).then(({ answers, pending }) => {
       endedAt = clock.monotonic();
-      expect([answers, waiting]).toEqual([others, [first]]);
+      expect([answers, pending]).toEqual([others, [first]]);
     });
-    await settle();
-    clock.advance(GRACE_MILLISECONDS);
-    await settle();
+    await flushEventLoop();
+    clock.advance(STRAGGLER_WAIT_MILLISECONDS);
+    await flushEventLoop();
     return endedAt;
   };
 
-  it('waits a little for the last one where it is expected to answer', async () => {
-    expect(await ask(true)).toBe(GRACE_MILLISECONDS);
+  it('waits for a responsive straggler after the quorum has answered', async () => {
+    expect(await query(true)).toBe(STRAGGLER_WAIT_MILLISECONDS);
   });
 
-  it('does not wait for one that was silent before', async () => {
-    expect(await ask(false)).toBe(0);
+  it('does not wait for an unresponsive straggler', async () => {
+    expect(await query(false)).toBe(0);
   });
 });
 
-describe('a round of questions to some stores first', () => {
+describe('queryMembers with hedging', () => {
   const { members, quorum } = SAMPLE_VIEW;
   const [first, ...rest] = members.map(({ name }) => name);
 
-  /** Asks a quorum of the members first; returns who was asked and how the round ended. */
-  async function askFirst(ask: (member: ViewMember) => Promise<string>, milliseconds: number) {
+  /** Queries a quorum of the members first; returns the queried names and the round's result. */
+  async function queryFirst(query: (member: ViewMember) => Promise<string>, milliseconds: number) {
     const clock = new ManualClock();
-    const asked: string[] = [];
-    const round = askMembers<string>({
+    const queried: string[] = [];
+    const round = queryMembers<string>({
       view: SAMPLE_VIEW,
       clock,
-      ask: (member) => {
-        asked.push(member.name);
-        return ask(member);
+      query: (member) => {
+        queried.push(member.name);
+        return query(member);
       },
-      isEnough: (answers) => answers.length >= quorum,
-      graceMilliseconds: 0,
+      isDecided: (answers) => answers.length >= quorum,
+      stragglerWaitMilliseconds: 0,
       describeFailure: String,
-      preference: { order: members, first: quorum, staggerMilliseconds: STAGGER_MILLISECONDS },
+      hedging: {
+        order: members,
+        initialCount: quorum,
+        hedgeDelayMilliseconds: HEDGE_DELAY_MILLISECONDS,
+      },
     });
-    await settle();
+    await flushEventLoop();
     clock.advance(milliseconds);
-    return { asked, round: await round };
+    return { queried, round: await round };
   }
 
-  it('asks no others where those answer', async () => {
-    const { asked, round } = await askFirst(askAllBut(''), 10 * STAGGER_MILLISECONDS);
-    expect(asked).toEqual(members.slice(0, quorum).map(({ name }) => name));
-    expect(round.answers).toEqual(asked);
+  it('queries no other members if the first ones answer', async () => {
+    const { queried, round } = await queryFirst(answerAllExcept(''), 10 * HEDGE_DELAY_MILLISECONDS);
+    expect(queried).toEqual(members.slice(0, quorum).map(({ name }) => name));
+    expect(round.answers).toEqual(queried);
   });
 
-  it('asks all others once one is late', async () => {
-    const { asked, round } = await askFirst(askAllBut(first ?? ''), STAGGER_MILLISECONDS);
-    expect(asked).toHaveLength(members.length);
+  it('queries all other members after the hedge delay', async () => {
+    const { queried, round } = await queryFirst(
+      answerAllExcept(first ?? ''),
+      HEDGE_DELAY_MILLISECONDS,
+    );
+    expect(queried).toHaveLength(members.length);
     expect(round.answers).toEqual(rest.slice(0, round.answers.length));
   });
 
-  it('asks another at once for one that fails, and ends when all have failed', async () => {
+  it('queries another member at once for each failure, and ends when all have failed', async () => {
     const fail = ({ name }: ViewMember) =>
-      name === first ? Promise.reject(new Error('cut off')) : Promise.resolve(name);
-    const one = await askFirst(fail, 0);
-    expect(one.asked).toHaveLength(quorum + 1);
+      name === first ? Promise.reject(new Error('connection lost')) : Promise.resolve(name);
+    const one = await queryFirst(fail, 0);
+    expect(one.queried).toHaveLength(quorum + 1);
     expect(one.round.answers).toHaveLength(quorum);
-    const none = await askFirst(() => Promise.reject(new Error('cut off')), 0);
-    expect(none.round).toMatchObject({ answers: [], waiting: [] });
+    const none = await queryFirst(() => Promise.reject(new Error('connection lost')), 0);
+    expect(none.round).toMatchObject({ answers: [], pending: [] });
     expect(none.round.failures).toHaveLength(members.length);
   });
 });
 
-describe('the holders of a program', () => {
-  const namesFor = (view: StoreView, program: string) =>
-    holdersFirst(view, program).map(({ name }) => name);
+describe('rankReplicas', () => {
+  const rankedNames = (view: StoreView, program: string) =>
+    rankReplicas(view, program).map(({ name }) => name);
 
-  it('are the same for everybody, whatever the order of the view', () => {
+  it('does not depend on the order of the members in the view', () => {
     const reversed = { ...SAMPLE_VIEW, members: [...SAMPLE_VIEW.members].reverse() };
-    expect(namesFor(reversed, 'p1')).toEqual(namesFor(SAMPLE_VIEW, 'p1'));
+    expect(rankedNames(reversed, 'p1')).toEqual(rankedNames(SAMPLE_VIEW, 'p1'));
   });
 
-  it('are spread over all stores', () => {
+  it('spreads programs evenly over the members', () => {
     const counts = new Map<string, number>();
     for (let program = 0; program < 600; program += 1) {
-      const [first = ''] = namesFor(SAMPLE_VIEW, `p${program}`);
+      const [first = ''] = rankedNames(SAMPLE_VIEW, `p${program}`);
       counts.set(first, (counts.get(first) ?? 0) + 1);
     }
-    const fair = 600 / SAMPLE_VIEW.members.length;
-    for (const count of counts.values()) expect(count).toBeGreaterThan(0.7 * fair);
+    const expected = 600 / SAMPLE_VIEW.members.length;
+    for (const count of counts.values()) expect(count).toBeGreaterThan(0.7 * expected);
     expect(counts.size).toBe(SAMPLE_VIEW.members.length);
   });
 });
 
-describe('questions to one store after another', () => {
-  it('go to the next one soon where the first is silent', async () => {
+describe('queryInOrder', () => {
+  it('queries the next member after the hedge delay while the first one is pending', async () => {
     const clock = new ManualClock();
     const [first] = SAMPLE_VIEW.members;
-    const asked: string[] = [];
-    const answer = askInTurn<string, string>({
+    const queried: string[] = [];
+    const answer = queryInOrder<string, string>({
       members: SAMPLE_VIEW.members,
       clock,
-      staggerMilliseconds: STAGGER_MILLISECONDS,
-      ask: (member) => {
-        asked.push(member.name);
-        return askAllBut(first?.name ?? '')(member);
+      hedgeDelayMilliseconds: HEDGE_DELAY_MILLISECONDS,
+      query: (member) => {
+        queried.push(member.name);
+        return answerAllExcept(first?.name ?? '')(member);
       },
       decide: (name) => name,
       onFailure: () => undefined,
     });
-    clock.advance(STAGGER_MILLISECONDS);
+    clock.advance(HEDGE_DELAY_MILLISECONDS);
     expect(await answer).toBe(SAMPLE_VIEW.members[1]?.name);
-    clock.advance(10 * STAGGER_MILLISECONDS);
-    expect(asked).toHaveLength(2);
+    clock.advance(10 * HEDGE_DELAY_MILLISECONDS);
+    expect(queried).toHaveLength(2);
   });
 
-  it('end with nothing where all fail', async () => {
+  it('resolves with undefined when all members fail', async () => {
     const failures: unknown[] = [];
-    const answer = await askInTurn<string, string>({
+    const answer = await queryInOrder<string, string>({
       members: SAMPLE_VIEW.members,
       clock: new ManualClock(),
-      staggerMilliseconds: STAGGER_MILLISECONDS,
-      ask: () => Promise.reject(new Error('cut off')),
+      hedgeDelayMilliseconds: HEDGE_DELAY_MILLISECONDS,
+      query: () => Promise.reject(new Error('connection lost')),
       decide: (name) => name,
       onFailure: (error) => failures.push(error),
     });
--- a/src/turns/tests/reservations.test.ts
+++ b/src/turns/tests/reservations.test.ts
@@ -3,60 +3,60 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import type { Caller } from '../../link';
 import { ChainCache, type Reservation, TurnClient, type TurnContract } from '..';
-import { settle } from './store-cluster';
+import { flushEventLoop } from './store-cluster';
 import { SAMPLE_VIEW } from './sample-view';
 
-const MOST = 10;
+const MAX_TOKENS = 10;
 
-/** Stores that do nothing but note reservations, in the order in which they are let through. */
-class NotingStores {
+/** Stores that record reservations in the order in which the test releases them. */
+class FakeStores {
   readonly #reservations = new Map<string, Reservation[]>();
-  readonly #held = new Map<string, () => void>();
-  /** Whether reservations wait until they are let through. */
-  holds = false;
+  readonly #heldReservations = new Map<string, () => void>();
+  /** Whether reservations wait for {@link release}. */
+  holdsReservations = false;
 
   readonly caller: Caller<TurnContract> = {
     call: ((store: string, _name: string, body: { readonly turn?: string }): Promise<unknown> => {
-      const noted = this.#reservations.get(store) ?? [];
-      this.#reservations.set(store, noted);
+      const recorded = this.#reservations.get(store) ?? [];
+      this.#reservations.set(store, recorded);
       const answer = () =>
-        ({ kind: 'reservations', complete: true, reservations: [...noted] }) as const;
+        ({ kind: 'reservations', complete: true, reservations: [...recorded] }) as const;
       const { turn } = body;
       if (turn === undefined) return Promise.resolve(answer());
       return new Promise((resolve) => {
-        const note = () => {
-          noted.push({ turn, tokens: MOST, settled: false });
+        const record = () => {
+          recorded.push({ turn, tokens: MAX_TOKENS, settled: false });
           resolve(answer());
         };
-        if (this.holds) this.#held.set(`${store} ${turn}`, note);
-        else note();
+        if (this.holdsReservations) this.#heldReservations.set(`${store} ${turn}`, record);
+        else record();
       });
     }) as Caller<TurnContract>['call'],
     cast: (store: string, _name: string, notice: { readonly turn: string }) => {
-      const noted = this.#reservations.get(store) ?? [];
+      const recorded = this.#reservations.get(store) ?? [];
       const withdrawn = { turn: notice.turn, tokens: 0, settled: true };
       this.#reservations.set(store, [
-        ...noted.filter(({ turn }) => turn !== notice.turn),
+        ...recorded.filter(({ turn }) => turn !== notice.turn),
         withdrawn,
       ]);
     },
     isConnected: () => true,
   };
 
-  /** Lets reservations through, each named as `store turn`. */
-  letThrough(names: readonly string[]): void {
-    for (const name of names) this.#held.get(name)?.();
+  /** Releases held reservations, each given as `store turn`. */
+  release(names: readonly string[]): void {
+    for (const name of names) this.#heldReservations.get(name)?.();
   }
 }
 
-function createClient(stores: NotingStores, clock: ManualClock): TurnClient {
+function createClient(stores: FakeStores, clock: ManualClock): TurnClient {
   const view = new Newest<StoreView>(({ epoch }) => epoch);
   view.offer(SAMPLE_VIEW);
   return new TurnClient({
     availabilityZone: 'a',
     view,
     cache: new ChainCache(0),
-    watch: { noteSuccess: () => undefined },
+    quorumMonitor: { recordSuccess: () => undefined },
     peers: stores.caller,
     clock,
     logger: createSilentLogger(),
@@ -64,58 +64,64 @@
   });
 }
 
-/** Lets 60 ms pass, in steps after each of which what waits can go on. */
-async function passTime(clock: ManualClock): Promise<void> {
+/** Advances the clock by 60 ms in steps of 10 ms, and runs pending callbacks after each. */
+async function advanceTime(clock: ManualClock): Promise<void> {
   for (let step = 0; step < 6; step += 1) {
-    await settle();
+    await flushEventLoop();
     clock.advance(10);
   }
-  await settle();
+  await flushEventLoop();
 }
 
-describe('reservations of turns at the same time', () => {
+describe('concurrent reservations', () => {
   const reserve = (client: TurnClient, turn: string) =>
-    client.reserve({ program: 'p', turn, most: MOST, budget: 2 * MOST, deadline: 1000 });
+    client.reserve({
+      program: 'p',
+      turn,
+      most: MAX_TOKENS,
+      budget: 2 * MAX_TOKENS,
+      deadline: 1000,
+    });
 
-  describe('where each reaches another two of three stores', () => {
-    it('never grants more than fits, though each sees only one of the others at first', async () => {
+  describe('when each reaches a different pair of three stores', () => {
+    it('never grants more than the budget, although each first sees only one other', async () => {
       const clock = new ManualClock();
-      const stores = new NotingStores();
-      stores.holds = true;
+      const stores = new FakeStores();
+      stores.holdsReservations = true;
       const client = createClient(stores, clock);
       const answers = Promise.all(['t1', 't2', 't3'].map((turn) => reserve(client, turn)));
-      stores.letThrough(['b t1', 'c t2', 'a t3', 'a t1', 'b t2', 'c t3']);
-      await passTime(clock);
+      stores.release(['b t1', 'c t2', 'a t3', 'a t1', 'b t2', 'c t3']);
+      await advanceTime(clock);
       const granted = (await answers).filter(({ fits }) => fits);
       expect(granted.length).toBeLessThanOrEqual(2);
     });
   });
 
-  describe('where they fit singly but not together', () => {
-    it('grants as many as fit, and refuses the others at once', async () => {
+  describe('that fit singly but not together', () => {
+    it('grants as many as fit, and refuses the others without delay', async () => {
       const clock = new ManualClock();
-      const stores = new NotingStores();
-      stores.holds = true;
+      const stores = new FakeStores();
+      stores.holdsReservations = true;
       const client = createClient(stores, clock);
       const turns = ['t1', 't2', 't3', 't4', 't5'];
       const answers = turns.map(async (turn) => {
         const { fits } = await reserve(client, turn);
         if (!fits) client.settle('p', turn, 0);
-        return { turn, fits, after: clock.monotonic() };
+        return { turn, fits, decidedAt: clock.monotonic() };
       });
-      stores.letThrough(turns.map((turn) => `a ${turn}`));
-      stores.letThrough(turns.toReversed().map((turn) => `b ${turn}`));
-      stores.letThrough(turns.map((turn) => `c ${turn}`));
-      await passTime(clock);
+      stores.release(turns.map((turn) => `a ${turn}`));
+      stores.release(turns.toReversed().map((turn) => `b ${turn}`));
+      stores.release(turns.map((turn) => `c ${turn}`));
+      await advanceTime(clock);
       const outcomes = await Promise.all(answers);
       expect(outcomes.map(({ fits }) => fits)).toEqual([true, true, false, false, false]);
-      expect(outcomes.map(({ after }) => after)).toEqual([10, 10, 0, 0, 0]);
+      expect(outcomes.map(({ decidedAt }) => decidedAt)).toEqual([10, 10, 0, 0, 0]);
     });
   });
 
-  describe('where all stores answer', () => {
-    it('grants what fits in one round', async () => {
-      const client = createClient(new NotingStores(), new ManualClock());
+  describe('when all stores answer', () => {
+    it('decides in one round', async () => {
+      const client = createClient(new FakeStores(), new ManualClock());
       expect(await reserve(client, 't1')).toMatchObject({ fits: true });
       expect(await reserve(client, 't2')).toMatchObject({ fits: true });
       expect(await reserve(client, 't3')).toMatchObject({ fits: false });
--- a/src/turns/tests/sample-view.ts
+++ b/src/turns/tests/sample-view.ts
@@ -1,6 +1,6 @@
 import type { StoreView } from '../../cluster';
 
-/** Three stores in zones of their own, whose addresses are their names; two are a quorum. */
+/** Three stores, each in its own availability zone, with its name as its address. */
 export const SAMPLE_VIEW: StoreView = {
   epoch: 1,
   members: ['a', 'b', 'c'].map((name) => ({
--- a/src/turns/tests/store-cluster.ts
+++ b/src/turns/tests/store-cluster.ts
@@ -4,13 +4,13 @@
 import type { Caller } from '../../link';
 import { SegmentedStore } from '../../storage';
 import { MemoryDisk } from '../../storage/tests/disk';
-import { ChainCache, Filler, TurnClient, type TurnContract, TurnJournal, TurnStore } from '..';
+import { Backfill, ChainCache, TurnClient, type TurnContract, TurnJournal, TurnStore } from '..';
 
 const FOLDER = '/turns';
 
-type AnyHandler = (request: unknown) => unknown;
+type AnyCallHandler = (request: unknown) => unknown;
 
-/** A message on its way: a call, its answer or a cast. */
+/** A message in transit: a call, its answer or a cast. */
 interface Message {
   readonly from: string;
   readonly to: string;
@@ -24,33 +24,32 @@
   run: number;
   journal: TurnJournal;
   view: Newest<StoreView>;
-  calls: Readonly<Record<string, AnyHandler>>;
+  calls: Readonly<Record<string, AnyCallHandler>>;
   casts: Readonly<Record<string, (body: unknown) => void>>;
 }
 
-/** Lets everything go on that waits for nothing but the event loop. */
-export function settle(): Promise<void> {
+/** Runs the callbacks that are pending in the event loop. */
+export function flushEventLoop(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
 /**
- * Stores, and clients that reach them, in one process: messages are delivered in any order, lost
- * with a cut, and hosts lose power or their disks. The stores in use are planned as the cluster's
- * leader plans them.
+ * Simulates stores and clients in one process: messages are delivered in any order and lost in
+ * partitions, and hosts lose power or their disks. Views are planned as by the cluster's leader.
  */
-export class StoreCluster {
+export class SimulatedCluster {
   readonly clock = new ManualClock();
   readonly random: SeededRandom;
   readonly #logger: Logger = createSilentLogger();
   readonly #hosts = new Map<string, Host>();
-  readonly #tolerated: number;
+  readonly #toleratedLosses: number;
   #messages: Message[] = [];
-  #cut = new Set<string>();
+  #partitioned = new Set<string>();
   #planned: StoreView | undefined;
 
-  constructor(seed: number, tolerated: number) {
+  constructor(seed: number, toleratedLosses: number) {
     this.random = new SeededRandom(seed);
-    this.#tolerated = tolerated;
+    this.#toleratedLosses = toleratedLosses;
   }
 
   async addHost(name: string): Promise<void> {
@@ -61,7 +60,7 @@
       alive: true,
       run: 0,
       journal: new TurnJournal(new SegmentedStore({ folder: FOLDER }), this.random),
-      view: newestView(),
+      view: createView(),
       calls: {},
       casts: {},
     };
@@ -69,7 +68,7 @@
     await this.start(name);
   }
 
-  /** Starts a host's process on what its disk holds. */
+  /** Starts a host's process from the content of its disk. */
   async start(name: string): Promise<void> {
     const host = this.#host(name);
     const fileSystem = host.disk.mount();
@@ -81,17 +80,17 @@
     host.run += 1;
     host.alive = true;
     host.journal = journal;
-    host.view = newestView();
-    const parts = { self: name, journal, clock: this.clock, logger: this.#logger };
-    const filler = new Filler({ ...parts, peers: this.caller(name), random: this.random });
+    host.view = createView();
+    const options = { self: name, journal, clock: this.clock, logger: this.#logger };
+    const backfill = new Backfill({ ...options, peers: this.caller(name), random: this.random });
     const metrics = new Metrics();
-    const store = new TurnStore({ ...parts, filler, view: host.view, metrics });
+    const store = new TurnStore({ ...options, backfill, view: host.view, metrics });
     host.calls = store.calls as Host['calls'];
     host.casts = store.casts as Host['casts'];
     store.start();
   }
 
-  /** Ends a host's process and takes its power, and its disk as well if asked to. */
+  /** Simulates a power loss; `wipes` empties the disk as well. */
   stop(name: string, wipes: boolean): void {
     const host = this.#host(name);
     host.alive = false;
@@ -102,13 +101,13 @@
     this.#messages = this.#messages.filter(({ from, to }) => from !== name && to !== name);
   }
 
-  /** Cuts a host off from all others; what is on its way is lost. */
-  cut(name: string): void {
-    this.#cut.add(name);
+  /** Partitions a host from all others; messages in transit are lost. */
+  partition(name: string): void {
+    this.#partitioned.add(name);
   }
 
   heal(): void {
-    this.#cut.clear();
+    this.#partitioned.clear();
   }
 
   isAlive(name: string): boolean {
@@ -119,8 +118,8 @@
     return [...this.#hosts.keys()];
   }
 
-  /** Members of the view that do not hold everything, those without a disk included. */
-  get incomplete(): number {
+  /** Number of members that have not completed their backfill, or whose disk was wiped. */
+  get incompleteCount(): number {
     const members = this.#planned?.members ?? [];
     return members.filter(({ name, joined, dataLife }) => {
       const { journal } = this.#host(name);
@@ -128,18 +127,18 @@
     }).length;
   }
 
-  /** Whether every member of the view is there and holds everything. */
-  get isWhole(): boolean {
+  /** Whether every member of the view is alive and has completed its backfill. */
+  get isFullyReplicated(): boolean {
     const members = this.#planned?.members ?? [];
-    return this.incomplete === 0 && members.every(({ name }) => this.#host(name).alive);
+    return this.incompleteCount === 0 && members.every(({ name }) => this.#host(name).alive);
   }
 
-  /** Plans the stores in use once, and tells everyone who is reached. */
+  /** Plans the view once; offers it to reachable hosts, and to each client with probability 0.5. */
   plan(clients: readonly Newest<StoreView>[], silenceCounts: boolean): void {
     const step = planView({
       view: this.#planned,
-      toleratedLosses: this.#tolerated,
-      stores: [...this.#hosts.values()].filter(({ alive }) => alive).map(describe),
+      toleratedLosses: this.#toleratedLosses,
+      stores: [...this.#hosts.values()].filter(({ alive }) => alive).map(toKnownNode),
       retirements: new Map(),
       silenceCounts,
     });
@@ -147,7 +146,7 @@
     const view = this.#planned;
     if (view === undefined) return;
     for (const host of this.#hosts.values()) {
-      if (host.alive && !this.#cut.has(host.name)) host.view.offer(view);
+      if (host.alive && !this.#partitioned.has(host.name)) host.view.offer(view);
     }
     for (const client of clients) {
       if (this.random.fraction() < 0.5) client.offer(view);
@@ -155,12 +154,12 @@
   }
 
   createClient(name: string): { readonly turns: TurnClient; readonly view: Newest<StoreView> } {
-    const view = newestView();
+    const view = createView();
     const turns = new TurnClient({
       availabilityZone: 'a',
       view,
       cache: new ChainCache(0),
-      watch: { noteSuccess: () => undefined },
+      quorumMonitor: { recordSuccess: () => undefined },
       peers: this.caller(name),
       clock: this.clock,
       logger: this.#logger,
@@ -169,7 +168,7 @@
     return { turns, view };
   }
 
-  /** Delivers one message, whichever; returns whether there was one. */
+  /** Delivers a random message; returns whether there was one. */
   deliverAny(): boolean {
     const index = Math.floor(this.random.fraction() * this.#messages.length);
     const [message] = this.#messages.splice(index, 1);
@@ -178,10 +177,10 @@
   }
 
   caller(from: string): Caller<TurnContract> {
-    const calls = (to: string, name: string, body: unknown, milliseconds: number) =>
+    const call = (to: string, name: string, body: unknown, milliseconds: number) =>
       new Promise<unknown>((resolve, reject) => {
         this.clock.after(milliseconds, () => {
-          reject(new Error('no answer in time'));
+          reject(new Error('call timed out'));
         });
         this.#send(from, to, () => {
           const run = this.#host(to).run;
@@ -197,7 +196,7 @@
         });
       });
     return {
-      call: calls as Caller<TurnContract>['call'],
+      call: call as Caller<TurnContract>['call'],
       cast: (to, name, body) => {
         this.#send(from, to, () => this.#host(to).casts[name]?.(body));
       },
@@ -205,30 +204,31 @@
     };
   }
 
-  #send(from: string, to: string, act: () => void): void {
+  #send(from: string, to: string, onDelivery: () => void): void {
     this.#messages.push({
       from,
       to,
       deliver: () => {
-        const target = this.#hosts.get(to);
-        if (target?.alive === false || this.#cut.has(from) || this.#cut.has(to)) return;
-        act();
+        const recipient = this.#hosts.get(to);
+        if (recipient?.alive === false || this.#partitioned.has(from) || this.#partitioned.has(to))
+          return;
+        onDelivery();
       },
     });
   }
 
   #host(name: string): Host {
     const host = this.#hosts.get(name);
-    if (host === undefined) throw new Error(`no host ${name}`);
+    if (host === undefined) throw new Error(`unknown host ${name}`);
     return host;
   }
 }
 
-function newestView(): Newest<StoreView> {
+function createView(): Newest<StoreView> {
   return new Newest<StoreView>(({ epoch }) => epoch);
 }
 
-function describe({ name, journal, view }: Host): KnownNode {
+function toKnownNode({ name, journal, view }: Host): KnownNode {
   return {
     node: {
       name,
--- a/src/turns/tests/store-watch.test.ts
+++ b/src/turns/tests/store-watch.test.ts
@@ -2,74 +2,74 @@
 import { createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { StoreWatch } from '..';
-import { settle } from './store-cluster';
+import { flushEventLoop } from './store-cluster';
 import { SAMPLE_VIEW } from './sample-view';
 
-/** Time in which two looks take place; milliseconds. */
-const TWO_LOOKS_MILLISECONDS = 1000;
+/** Time in which at least two probes take place. */
+const TWO_PROBES_MILLISECONDS = 1000;
 
-describe('the watch over the stores', () => {
+describe('the quorum monitor', () => {
   const clock = new ManualClock();
   let reachable = true;
-  let asked = 0;
+  let callCount = 0;
   const view = new Newest<StoreView>(({ epoch }) => epoch);
-  const watch = new StoreWatch({
+  const monitor = new StoreWatch({
     view,
     clock,
     logger: createSilentLogger(),
     peers: {
       call: (() => {
-        asked += 1;
-        return reachable ? Promise.resolve({}) : Promise.reject(new Error('cut off'));
+        callCount += 1;
+        return reachable ? Promise.resolve({}) : Promise.reject(new Error('connection lost'));
       }) as never,
       cast: () => undefined,
       isConnected: () => reachable,
     },
   });
 
-  const pass = async (milliseconds: number) => {
+  const advance = async (milliseconds: number) => {
     for (let time = 0; time < milliseconds; time += 50) {
       clock.advance(50);
-      await settle();
+      await flushEventLoop();
     }
   };
 
   beforeAll(() => {
     view.offer(SAMPLE_VIEW);
-    watch.start();
+    monitor.start();
   });
 
   afterAll(() => {
-    watch.stop();
+    monitor.stop();
   });
 
-  it('reaches nobody before the first look', () => {
-    expect(watch.reachesQuorum).toBe(false);
+  it('reports the quorum as unreachable before the first probe', () => {
+    expect(monitor.reachesQuorum).toBe(false);
   });
 
-  it('reaches the stores once a quorum has answered', async () => {
-    await pass(TWO_LOOKS_MILLISECONDS);
-    expect(watch.reachesQuorum).toBe(true);
+  it('reports the quorum as reachable once a quorum has answered', async () => {
+    await advance(TWO_PROBES_MILLISECONDS);
+    expect(monitor.reachesQuorum).toBe(true);
   });
 
-  it('notices a cut within a second although no turn is under way', async () => {
+  it('detects a network partition within a second without any traffic', async () => {
     reachable = false;
-    await pass(TWO_LOOKS_MILLISECONDS);
-    expect(watch.reachesQuorum).toBe(false);
+    await advance(TWO_PROBES_MILLISECONDS);
+    expect(monitor.reachesQuorum).toBe(false);
   });
 
-  it('notices the end of the cut', async () => {
+  it('detects the end of the partition', async () => {
     reachable = true;
-    await pass(TWO_LOOKS_MILLISECONDS);
-    expect(watch.reachesQuorum).toBe(true);
+    await advance(TWO_PROBES_MILLISECONDS);
+    expect(monitor.reachesQuorum).toBe(true);
   });
 
-  it('asks nobody while turns show that the stores answer', async () => {
-    const before = asked;
-    for (let time = 0; time < TWO_LOOKS_MILLISECONDS; time += 100) {
-      watch.noteSuccess();
-      await pass(100);
+  it('sends no probes while turns are answered by a quorum', async () => {
+    const before = callCount;
+    for (let time = 0; time < TWO_PROBES_MILLISECONDS; time += 100) {
+      monitor.recordSuccess();
+      await advance(100);
     }
-    expect(asked).toBe(before);
+    expect(callCount).toBe(before);
   });
 });
