--- a/src/routes/check.ts
+++ b/src/routes/check.ts
@@ -2,15 +2,15 @@
 import { findSharedKeys } from '../teams';
 import type { RouteConfiguration } from './configuration';
 
-/** Finds what makes a configuration that was read whole unfit to be in force. */
+/** Semantic checks of a configuration that has already passed its schema. */
 export function checkRouteConfiguration(configuration: RouteConfiguration): readonly Issue[] {
   return [
     ...findUnknownServices(configuration),
-    ...findSamePlaces(configuration),
-    ...findWeightless(configuration),
-    ...findWithoutTime(configuration),
-    ...findSameTeams(configuration),
-    ...findKeysOfTwoTeams(configuration),
+    ...findDuplicateMatches(configuration),
+    ...findZeroWeights(configuration),
+    ...findZeroTimeouts(configuration),
+    ...findDuplicateTeamNames(configuration),
+    ...findKeysSharedByTeams(configuration),
   ];
 }
 
@@ -27,30 +27,30 @@
   );
 }
 
-function findSamePlaces({ routes }: RouteConfiguration): readonly Issue[] {
-  const places = new Map<string, string>();
+function findDuplicateMatches({ routes }: RouteConfiguration): readonly Issue[] {
+  const nameByMatch = new Map<string, string>();
   const issues: Issue[] = [];
   routes.forEach(({ host, pathPrefix, name }, index) => {
-    const place = `${host} ${pathPrefix}`;
-    const other = places.get(place);
-    places.set(place, name);
-    if (other === undefined) return;
-    const message = `has the same host and prefix as "${other}"; change one of them`;
+    const match = `${host} ${pathPrefix}`;
+    const otherName = nameByMatch.get(match);
+    nameByMatch.set(match, name);
+    if (otherName === undefined) return;
+    const message = `has the same host and prefix as "${otherName}"; change one of them`;
     issues.push({ code: 'same_place', path: ['routes', index], message });
   });
   return issues;
 }
 
-function findWeightless({ routes }: RouteConfiguration): readonly Issue[] {
+function findZeroWeights({ routes }: RouteConfiguration): readonly Issue[] {
   return routes.flatMap(({ services }, index) => {
-    const sum = services.reduce((total, { weight }) => total + weight, 0);
-    if (sum > 0) return [];
+    const total = services.reduce((sum, { weight }) => sum + weight, 0);
+    if (total > 0) return [];
     const message = 'has weights that add up to 0; give one service a weight above 0';
     return [{ code: 'no_weight', path: ['routes', index], message }];
   });
 }
 
-function findWithoutTime({ routes }: RouteConfiguration): readonly Issue[] {
+function findZeroTimeouts({ routes }: RouteConfiguration): readonly Issue[] {
   return routes.flatMap(({ timeoutMilliseconds }, index) => {
     if (timeoutMilliseconds > 0) return [];
     const message = 'has a timeout of 0; give it a time above 0';
@@ -58,7 +58,7 @@
   });
 }
 
-function findSameTeams({ teams = [] }: RouteConfiguration): readonly Issue[] {
+function findDuplicateTeamNames({ teams = [] }: RouteConfiguration): readonly Issue[] {
   const seen = new Set<string>();
   return teams.flatMap(({ name }, index) => {
     if (!seen.has(name)) {
@@ -70,7 +70,7 @@
   });
 }
 
-function findKeysOfTwoTeams({ teams = [] }: RouteConfiguration): readonly Issue[] {
+function findKeysSharedByTeams({ teams = [] }: RouteConfiguration): readonly Issue[] {
   return findSharedKeys(
     teams.map(({ name, keyDigests }, index) => ({
       name,
--- a/src/routes/configuration.ts
+++ b/src/routes/configuration.ts
@@ -1,61 +1,60 @@
 import type { Team } from '../teams';
 
-/** What may be done again with a request whose outcome is not known. */
+/** Whether a request may be retried when its outcome is unknown. */
 export type RequestKind =
-  /** May run more than once. */
+  /** Idempotent: may run more than once. */
   | 'repeatable'
-  /** Runs at most once for each request of a caller. */
+  /** Runs at most once per request of a caller. */
   | 'once'
-  /** Runs at most once and answers with a stream of events. */
+  /** Answers with a stream of events; runs at most once unless the route is resumable. */
   | 'stream';
 
-/** A service that a route may send to, with its share of the requests. */
+/** A service's share of a route's requests is its weight divided by the sum of the weights. */
 export interface RouteService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go, and what holds for them. Times in milliseconds. */
+/** Settings of the requests of one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Longest time that a request is held. */
+  /** Deadline of a request, counted from its arrival. */
   readonly timeoutMilliseconds: number;
-  /** Time within which an answer should begin. */
+  /** Objective for the time until an answer begins. */
   readonly aimMilliseconds: number;
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly services: readonly RouteService[];
-  /** Targets to which one request may be sent. */
+  /** Maximum number of targets that one request is sent to. */
   readonly attempts: number;
-  /** Whether a stream may run again where its outcome is not known; repeatable calls always may. */
+  /** Whether a stream may be retried when its outcome is unknown; `repeatable` ones always may. */
   readonly isResumable: boolean;
-  /** Seconds for which whole turns are kept, where callers send only what is new. */
+  /** Seconds for which completed turns are kept; `undefined` if callers send the whole context. */
   readonly retentionSeconds: number | undefined;
-  /** Whether callers without a key are served, where the configuration has teams. */
+  /** Whether callers without a key are served although the configuration has teams. */
   readonly isPublic: boolean;
 }
 
-/** What an engine's service is set up with. */
 export interface EngineSettings {
-  /** Requests that it runs at the same time. */
+  /** Requests that an engine processes concurrently. */
   readonly slots: number;
-  /** Tokens that its memory holds. */
+  /** Capacity of an engine's KV cache. */
   readonly cacheTokens: number;
   readonly tokensPerEvent: number;
 }
 
 export interface Service {
   readonly name: string;
-  /** Connections that one target takes from all processes together. */
+  /** Connections that one target accepts from all gateways together. */
   readonly connectionLimit: number;
   readonly engine: EngineSettings | undefined;
 }
 
-/** Bounds of what a caller may send. */
+/** Limits of a caller's request and connection. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -63,12 +62,11 @@
   readonly idleMilliseconds: number;
 }
 
-/** A configuration of routes and services, as it is in force. */
 export interface RouteConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: CallerLimits;
-  /** Nothing where callers need no key; with an empty list no key is known. */
+  /** `undefined` if callers need no key; an empty list accepts no key. */
   readonly teams: readonly Team[] | undefined;
 }
--- a/src/routes/table.ts
+++ b/src/routes/table.ts
@@ -4,7 +4,7 @@
 /** Finds routes by host and longest path prefix. */
 export class RouteTable {
   readonly configuration: RouteConfiguration;
-  /** Nothing where callers need no key. */
+  /** `undefined` if callers need no key. */
   readonly teams: TeamDirectory | undefined;
   readonly #routesByHost = new Map<string, Map<string, Route>>();
   readonly #services: ReadonlyMap<string, Service>;
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The route of a path without its query. */
+  /** `path` has no query string. */
   find(host: string, path: string): Route | undefined {
     const routes = this.#routesByHost.get(host);
     if (routes === undefined) return undefined;
@@ -38,16 +38,16 @@
   }
 }
 
-/** Picks one of a route's services by weight; `fraction` is a random number in [0, 1). */
+/** Selects one of a route's services by weight; `fraction` is a random number in [0, 1). */
 export function pickService(
   services: readonly RouteService[],
   fraction: number,
 ): RouteService | undefined {
   const total = services.reduce((sum, { weight }) => sum + weight, 0);
-  let rest = fraction * total;
+  let remaining = fraction * total;
   for (const service of services) {
-    rest -= service.weight;
-    if (rest < 0) return service;
+    remaining -= service.weight;
+    if (remaining < 0) return service;
   }
   return services.findLast(({ weight }) => weight > 0);
 }
--- a/src/routes/tests/routes.test.ts
+++ b/src/routes/tests/routes.test.ts
@@ -6,7 +6,7 @@
   pickService,
 } from '..';
 
-function route(host: string, pathPrefix: string, facts: Partial<Route> = {}): Route {
+function createRoute(host: string, pathPrefix: string, overrides: Partial<Route> = {}): Route {
   return {
     name: `${host}${pathPrefix}`,
     host,
@@ -20,11 +20,11 @@
     isResumable: false,
     retentionSeconds: undefined,
     isPublic: false,
-    ...facts,
+    ...overrides,
   };
 }
 
-function configure(routes: readonly Route[]): RouteConfiguration {
+function createConfiguration(routes: readonly Route[]): RouteConfiguration {
   return {
     version: 1,
     routes,
@@ -35,9 +35,13 @@
 }
 
 describe('routes', () => {
-  describe('found by host and path', () => {
+  describe('lookup by host and longest path prefix', () => {
     const table = new RouteTable(
-      configure([route('a', '/x/'), route('a', '/x/y/'), route('b', '/')]),
+      createConfiguration([
+        createRoute('a', '/x/'),
+        createRoute('a', '/x/y/'),
+        createRoute('b', '/'),
+      ]),
     );
 
     it.each([
@@ -48,12 +52,12 @@
       ['a', '/', undefined],
       ['b', '/x/1', '/'],
       ['c', '/x/1', undefined],
-    ])('%s %s goes to %s', (host, path, prefix) => {
+    ])('resolves %s %s to %s', (host, path, prefix) => {
       expect(table.find(host, path)?.pathPrefix).toBe(prefix);
     });
   });
 
-  describe('with weights', () => {
+  describe('selection of a service by weight', () => {
     const services = [
       { service: 'never', weight: 0 },
       { service: 'mostly', weight: 9 },
@@ -65,18 +69,18 @@
       [0.89, 'mostly'],
       [0.91, 'seldom'],
       [0.999, 'seldom'],
-    ])('%s picks %s', (fraction, service) => {
+    ])('maps the fraction %s to %s', (fraction, service) => {
       expect(pickService(services, fraction)?.service).toBe(service);
     });
   });
 
-  describe('checked', () => {
-    it('are refused for each of their faults', () => {
-      const faults = configure([
-        route('a', '/x/', { services: [{ service: 'unknown', weight: 1 }] }),
-        route('a', '/x/'),
-        route('a', '/y/', { services: [{ service: 's', weight: 0 }] }),
-        route('a', '/z/', { timeoutMilliseconds: 0 }),
+  describe('configuration checks', () => {
+    it('report one issue for each fault', () => {
+      const faults = createConfiguration([
+        createRoute('a', '/x/', { services: [{ service: 'unknown', weight: 1 }] }),
+        createRoute('a', '/x/'),
+        createRoute('a', '/y/', { services: [{ service: 's', weight: 0 }] }),
+        createRoute('a', '/z/', { timeoutMilliseconds: 0 }),
       ]);
       const codes = checkRouteConfiguration(faults).map(({ code, path }) => [code, path[1]]);
       expect(codes).toEqual([
