--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -24,75 +24,83 @@
 } from '../targets';
 import { ChainCache, StoreWatch, TurnClient } from '../turns';
 import { HttpEndpoint } from './http-endpoint';
-import { NodeParts, type NodePartsOptions } from './node';
-import { PauseWatch } from './pause-watch';
+import { NodeContext, type NodeContextOptions } from './node';
+import { PauseMonitor } from './pause-watch';
 import type { NodeSettings } from './settings';
-import { createTeamParts } from './team-parts';
+import { createTeamAccessControl } from './team-parts';
 
-/** Bytes of whole turns that a gateway keeps in memory, so that it need not fetch them. */
+/** Limit of the cache of completed turns. */
 const CHAIN_CACHE_BYTES = 24 * 1024 * 1024;
 
 /**
- * Time after the signal to stop in which requests are still taken: the platform looks once a
- * second and sends nobody after the second look, and what comes later might not end in time.
+ * Time after the stop signal during which new requests are still accepted: the platform stops
+ * routing to a process only after two failed readiness checks, one second apart.
  */
-const LEAVING_MILLISECONDS = 2500;
+const DRAIN_ACCEPT_MILLISECONDS = 2500;
 
-/** Part of the time to stop that is left for closing; milliseconds. */
-const CLOSING_MILLISECONDS = 300;
+/** Part of `stop-seconds` that is reserved for stopping the components after the drain. */
+const SHUTDOWN_RESERVE_MILLISECONDS = 300;
 
-/** Result of reading a configuration's text. */
 export type ParsedConfiguration =
   | { readonly kind: 'valid'; readonly configuration: RouteConfiguration }
   | { readonly kind: 'invalid'; readonly issues: readonly Issue[] };
 
-/** What a platform brings: how it writes what the product understands. */
+/** A platform's headers, configuration format, target list and operator calls. */
 export interface PlatformAdapter {
   readonly wire: Wire;
   parseConfiguration(text: string): ParsedConfiguration;
   createTargetSource(settings: NodeSettings, logger: Logger): TargetSource;
-  /** Answers the operators' calls. */
   createOperatorHandler(
     client: ClusterClient,
     logger: Logger,
   ): (request: IncomingMessage, response: ServerResponse) => Promise<void>;
 }
 
-export interface GatewayNodeOptions extends Omit<NodePartsOptions, 'kind'> {
+export interface GatewayNodeOptions extends Omit<NodeContextOptions, 'kind'> {
   readonly platform: PlatformAdapter;
 }
 
-/** A gateway with what is needed to stop it in time. */
 export interface GatewayNode {
-  readonly parts: NodeParts;
+  readonly context: NodeContext;
   readonly lifeCycle: LifeCycle;
-  /** Finishes the requests under way before the process stops. */
-  leave(): Promise<void>;
+  /** Transfers leadership and waits for the requests in flight, within `stop-seconds`. */
+  drain(): Promise<void>;
 }
 
-/** A process that takes callers' requests; on a host with a disk it keeps the cluster's state. */
+/** Creates a gateway; on a host with a disk it also keeps a replica of the cluster's state. */
 export function createGatewayNode(options: GatewayNodeOptions): GatewayNode {
   const { platform, settings } = options;
   const { decisions: switches } = settings;
-  const parts = new NodeParts({ ...options, kind: 'gateway' });
-  const { clock, random, logger, metrics, view, configuration, peers, directory } = parts;
+  const context = new NodeContext({ ...options, kind: 'gateway' });
+  const { clock, random, logger, metrics, view, configuration, peers, directory } = context;
   const keepsClusterState = settings.node['data-folder'] !== undefined;
-  const self = parts.describe(keepsClusterState, '');
+  const self = context.describeSelf(keepsClusterState, '');
   const status = () => ({
     configurationVersion: configuration.number,
     viewEpoch: view.number,
     completeFor: 0,
   });
   let table: RouteTable | undefined;
-  const founding = parts.createFounding(self);
-  const keeper = keepsClusterState ? parts.createKeeper(self, founding) : undefined;
+  const bootstrap = context.createBootstrap(self);
+  const replicaComponents = keepsClusterState
+    ? context.createReplicaComponents(self, bootstrap)
+    : undefined;
   const confirmation = new Confirmation(clock);
-  const leads = () => keeper?.member.serves === true;
-  const greeter = parts.createGreeter(self, status, { confirmation, leads });
-  const quotaHolder = new QuotaHolder({ teams: () => table?.teams, clock, logger });
-  const serviceParts = { status, greeter, founding, keeper, quotas: quotaHolder };
-  const service = parts.createService(self, serviceParts);
-  const client = parts.createClient(self, greeter, service);
+  const isLeader = () => replicaComponents?.member.serves === true;
+  const heartbeatSender = context.createHeartbeatSender(self, status, {
+    confirmation,
+    leads: isLeader,
+  });
+  const quotaAllocator = new QuotaHolder({ teams: () => table?.teams, clock, logger });
+  const clusterServiceOptions = {
+    status,
+    greeter: heartbeatSender,
+    founding: bootstrap,
+    keeper: replicaComponents,
+    quotas: quotaAllocator,
+  };
+  const service = context.createClusterService(self, clusterServiceOptions);
+  const client = context.createClusterClient(self, heartbeatSender, service);
 
   const source = new SharedTargetSource({
     self,
@@ -114,8 +122,8 @@
   const { 'availability-zone': availabilityZone } = settings.node;
   const chooser = new TargetChooser({ targets, availabilityZone, clock, random });
   const durations = new UsualDurations();
-  const teamOptions = { parts, self, client, confirmation, routes: () => table };
-  const { keyGuard, quotas, quotaGate } = createTeamParts(teamOptions);
+  const teamAccessControlOptions = { context, self, client, confirmation, routes: () => table };
+  const { keyGuard, quotas, quotaGate } = createTeamAccessControl(teamAccessControlOptions);
   const forwarder = new Forwarder({
     targets,
     chooser,
@@ -132,15 +140,24 @@
   });
   const cache = new ChainCache(CHAIN_CACHE_BYTES);
   const quorumMonitor = new StoreWatch({ view, peers, clock, logger });
-  const turnParts = { availabilityZone, view, cache, quorumMonitor, peers, clock, logger, metrics };
-  const turns = new TurnClient(turnParts);
+  const turnClientOptions = {
+    availabilityZone,
+    view,
+    cache,
+    quorumMonitor,
+    peers,
+    clock,
+    logger,
+    metrics,
+  };
+  const turns = new TurnClient(turnClientOptions);
   const preparer = new TurnPreparer({ turns, watch: quorumMonitor, clock });
   const turnHandler = new TurnHandler({
     ...{ forwarder, preparer, quotaGate, turns, chooser, switches, clock, random, metrics },
   });
-  let leaving = false;
+  let isDraining = false;
   const isServing = () => table !== undefined && targets.isLoaded && quorumMonitor.reachesQuorum;
-  const isReady = () => !leaving && isServing() && keyGuard.isConfirmed;
+  const isReady = () => !isDraining && isServing() && keyGuard.isConfirmed;
   const server = new GatewayServer({
     address: parseAddress(settings.listen.callers ?? ''),
     wire: platform.wire,
@@ -166,50 +183,52 @@
   });
 
   const lifeCycle = new LifeCycle();
-  lifeCycle.add('log', parts.logOutput);
-  lifeCycle.add('pause-watch', new PauseWatch(parts));
+  lifeCycle.add('log', context.logOutput);
+  lifeCycle.add('pause-monitor', new PauseMonitor(context));
   lifeCycle.add('peers', peers);
   lifeCycle.add('connections', connections);
-  if (keepsClusterState) lifeCycle.add('known-state', parts.createKnownState());
-  if (keeper !== undefined) lifeCycle.add('cluster-state', keeper.member);
+  if (keepsClusterState) lifeCycle.add('cluster-state-cache', context.createClusterStateCache());
+  if (replicaComponents !== undefined) lifeCycle.add('cluster-state', replicaComponents.member);
   lifeCycle.add(
-    'listener',
-    parts.createListener([service.calls, source.calls], [service.casts, loads.casts]),
+    'rpc-server',
+    context.createRpcServer([service.calls, source.calls], [service.casts, loads.casts]),
   );
   lifeCycle.add('cluster-service', service);
-  lifeCycle.add('greeter', greeter);
-  if (keeper !== undefined) lifeCycle.add('view-keeper', keeper.viewKeeper);
-  lifeCycle.add('store-watch', quorumMonitor);
+  lifeCycle.add('heartbeat', heartbeatSender);
+  if (replicaComponents !== undefined)
+    lifeCycle.add('view-controller', replicaComponents.viewKeeper);
+  lifeCycle.add('quorum-monitor', quorumMonitor);
   lifeCycle.add('targets', targets);
   lifeCycle.add('quotas', quotas);
   if (switches['shared-loads']) lifeCycle.add('loads', loads);
-  addEndpoint(parts, lifeCycle, settings.listen.readiness, (_request, response) => {
+  addHttpEndpoint(context, lifeCycle, settings.listen.readiness, (_request, response) => {
     response.statusCode = isReady() ? 200 : 503;
     response.end();
   });
-  const operators = platform.createOperatorHandler(client, logger);
-  addEndpoint(parts, lifeCycle, settings.listen.operators, operators);
+  const operatorHandler = platform.createOperatorHandler(client, logger);
+  addHttpEndpoint(context, lifeCycle, settings.listen.operators, operatorHandler);
   lifeCycle.add('gateway', server);
-  parts.addMetrics(lifeCycle);
+  context.addMetricsEndpoint(lifeCycle);
 
   return {
-    parts,
+    context,
     lifeCycle,
-    leave: async () => {
-      leaving = true;
-      const handedOver = keeper?.member.handOver();
-      const total = settings.node['stop-seconds'] * 1000 - CLOSING_MILLISECONDS;
-      const stay = Math.min(LEAVING_MILLISECONDS, total / 2);
-      await delay(clock, stay);
+    drain: async () => {
+      isDraining = true;
+      const leadershipTransfer = replicaComponents?.member.handOver();
+      const totalMilliseconds =
+        settings.node['stop-seconds'] * 1000 - SHUTDOWN_RESERVE_MILLISECONDS;
+      const acceptMilliseconds = Math.min(DRAIN_ACCEPT_MILLISECONDS, totalMilliseconds / 2);
+      await delay(clock, acceptMilliseconds);
       server.refuseNew();
-      await idleWithin(server, clock, total - stay);
-      await handedOver;
+      await waitForIdle(server, clock, totalMilliseconds - acceptMilliseconds);
+      await leadershipTransfer;
     },
   };
 }
 
-/** Resolves when no request is under way any more, or after `milliseconds`. */
-function idleWithin(server: GatewayServer, clock: Clock, milliseconds: number): Promise<void> {
+/** Resolves once no request is in flight, or after `milliseconds`. */
+function waitForIdle(server: GatewayServer, clock: Clock, milliseconds: number): Promise<void> {
   return new Promise((resolve) => {
     const cancel = clock.after(milliseconds, resolve);
     void server.idle().then(() => {
@@ -219,8 +238,8 @@
   });
 }
 
-function addEndpoint(
-  { logger }: NodeParts,
+function addHttpEndpoint(
+  { logger }: NodeContext,
   lifeCycle: LifeCycle,
   address: string | undefined,
   handle: (request: IncomingMessage, response: ServerResponse) => void | Promise<void>,
--- a/src/nodes/http-endpoint.ts
+++ b/src/nodes/http-endpoint.ts
@@ -8,7 +8,7 @@
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void | Promise<void>;
 }
 
-/** A small HTTP server for readiness, metrics or operators. */
+/** HTTP server for readiness checks, metrics or operators. */
 export class HttpEndpoint implements Component {
   readonly #options: HttpEndpointOptions;
   readonly #server: Server;
@@ -44,8 +44,8 @@
   }
 }
 
-/** Serves the metrics in the Prometheus text format. */
-export function answerMetrics(render: () => string): HttpEndpointOptions['handle'] {
+/** Serves the metrics in the Prometheus text format, version 0.0.4. */
+export function serveMetrics(render: () => string): HttpEndpointOptions['handle'] {
   return (_request, response) => {
     response.setHeader('content-type', 'text/plain; version=0.0.4');
     response.end(render());
--- a/src/nodes/log-output.ts
+++ b/src/nodes/log-output.ts
@@ -2,26 +2,24 @@
 import { destination } from 'pino';
 import { type Clock, type Component, type Metrics, PeriodicTask } from '../core';
 
-/** Bytes of lines that are written at once. */
-const WRITE_BYTES = 4096;
+const WRITE_CHUNK_BYTES = 4096;
 
-/** Bytes of lines that may wait for a reader that is too slow; newer ones are dropped. */
-const WAITING_BYTES = 512 * 1024;
+/** Limit of the unwritten lines; further ones are dropped while standard output is blocked. */
+const BUFFER_LIMIT_BYTES = 512 * 1024;
 
-/** Longest time for which a line waits; milliseconds. */
-const FLUSH_MILLISECONDS = 200;
+const FLUSH_INTERVAL_MILLISECONDS = 200;
 
-/** Standard output for log lines: bounded, and nothing waits for its reader. */
+/** Asynchronous log output to standard output with a bounded buffer; logging never blocks. */
 export class LogOutput implements Component {
   readonly stream: SonicBoom;
-  readonly #flushing: PeriodicTask;
+  readonly #flushTask: PeriodicTask;
 
   constructor(clock: Clock, metrics: Metrics) {
     this.stream = destination({
       fd: 1,
       sync: false,
-      minLength: WRITE_BYTES,
-      maxLength: WAITING_BYTES,
+      minLength: WRITE_CHUNK_BYTES,
+      maxLength: BUFFER_LIMIT_BYTES,
     });
     this.stream.on('drop', () => {
       metrics.count('log_lines_dropped_total');
@@ -29,17 +27,17 @@
     this.stream.on('error', () => {
       metrics.count('log_write_errors_total');
     });
-    this.#flushing = new PeriodicTask(clock, FLUSH_MILLISECONDS, () => {
+    this.#flushTask = new PeriodicTask(clock, FLUSH_INTERVAL_MILLISECONDS, () => {
       this.stream.flush();
     });
   }
 
   start(): void {
-    this.#flushing.start();
+    this.#flushTask.start();
   }
 
   stop(): void {
-    this.#flushing.stop();
+    this.#flushTask.stop();
     this.stream.flushSync();
   }
 }
--- a/src/nodes/node.ts
+++ b/src/nodes/node.ts
@@ -32,26 +32,25 @@
 import type { QuotaHolder } from '../quotas';
 import { NodeFileSystem, QuarantiningStore, type RecordStore } from '../storage';
 import type { SystemContract } from './contract';
-import { HttpEndpoint, answerMetrics } from './http-endpoint';
+import { HttpEndpoint, serveMetrics } from './http-endpoint';
 import { LogOutput } from './log-output';
 import type { NodeSettings } from './settings';
 
-/** Random bytes that name one run of a process. */
-const RUN_BYTES = 8;
+const RUN_ID_BYTES = 8;
 
-export interface NodePartsOptions {
+export interface NodeContextOptions {
   readonly kind: NodeKind;
   readonly settings: NodeSettings;
-  /** The newest settings, which may name other seeds than the first ones. */
+  /** The settings after the last reload, which may name other seeds than `settings`. */
   readonly currentSettings: () => NodeSettings;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Ends the process, which can't go on and is to be started again; the reason was logged. */
+  /** Ends the process after an unrecoverable failure, which the caller has logged. */
   readonly onFailure: () => void;
 }
 
-/** What every process of the system has: logs, metrics, connections and what it knows of others. */
-export class NodeParts {
+/** Dependencies shared by the components of a process, and factories for those of the cluster. */
+export class NodeContext {
   readonly settings: NodeSettings;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -62,9 +61,9 @@
   readonly directory: NodeDirectory;
   readonly configuration = new Newest<VersionedConfiguration>(({ version }) => version);
   readonly view = new Newest<StoreView>(({ epoch }) => epoch);
-  readonly #options: NodePartsOptions;
+  readonly #options: NodeContextOptions;
 
-  constructor(options: NodePartsOptions) {
+  constructor(options: NodeContextOptions) {
     this.#options = options;
     const { settings, clock, random, kind } = options;
     this.settings = settings;
@@ -81,7 +80,7 @@
     this.directory = new NodeDirectory(clock);
   }
 
-  /** Addresses of the seeds' connections with other processes; their port is the same everywhere. */
+  /** RPC addresses of the seeds; the RPC port is the same on all hosts. */
   readonly seeds = (): readonly string[] => {
     const { port } = parseAddress(this.settings.node.address);
     return this.#options
@@ -89,7 +88,7 @@
       .node.seeds.map((seed) => formatAddress({ host: parseAddress(seed).host, port }));
   };
 
-  describe(keepsClusterState: boolean, dataLife: string): NodeInfo {
+  describeSelf(keepsClusterState: boolean, dataLife: string): NodeInfo {
     const { node } = this.settings;
     return {
       name: node.name,
@@ -97,12 +96,12 @@
       address: node.address,
       availabilityZone: node['availability-zone'],
       keepsClusterState,
-      run: this.random.hex(RUN_BYTES),
+      run: this.random.hex(RUN_ID_BYTES),
       dataLife,
     };
   }
 
-  /** A store of records in a folder of its own. */
+  /** Opens the subfolder `name` of the data folder; an unreadable store is quarantined. */
   openStore(name: string): RecordStore {
     const { settings, logger } = this;
     return new QuarantiningStore({
@@ -118,17 +117,17 @@
     });
   }
 
-  createGreeter(
+  createHeartbeatSender(
     self: NodeInfo,
     status: () => NodeStatus,
     leadership?: Pick<GreeterOptions, 'confirmation' | 'leads'>,
   ): Greeter {
-    return new Greeter({ ...this.#shared, self, status, seeds: this.seeds, ...leadership });
+    return new Greeter({ ...this.#sharedOptions, self, status, seeds: this.seeds, ...leadership });
   }
 
-  createFounding(self: NodeInfo): Founding {
+  createBootstrap(self: NodeInfo): Founding {
     return new Founding({
-      ...this.#shared,
+      ...this.#sharedOptions,
       self: self.name,
       address: self.address,
       isFirstStart: this.settings.node['first-start'],
@@ -136,29 +135,29 @@
     });
   }
 
-  /** This host's copy of the cluster's state. */
-  createKeeper(self: NodeInfo, founding: Founding): KeeperParts {
+  /** This host's replica of the cluster's state. */
+  createReplicaComponents(self: NodeInfo, bootstrap: Founding): KeeperParts {
     const toleratedLosses = this.settings.node['tolerated-losses'];
     const member = new ClusterMember({
-      ...this.#shared,
+      ...this.#sharedOptions,
       self,
       toleratedLosses,
-      founding,
+      founding: bootstrap,
       openStore: () => this.openStore('cluster'),
       random: this.random,
     });
-    const viewKeeper = new ViewKeeper({ ...this.#shared, member, toleratedLosses });
+    const viewKeeper = new ViewKeeper({ ...this.#sharedOptions, member, toleratedLosses });
     return { member, viewKeeper };
   }
 
-  /** What this host knew before it was started again; it must have a disk. */
-  createKnownState(): KnownState {
-    return new KnownState({ ...this.#shared, store: this.openStore('known') });
+  /** Requires a data folder. */
+  createClusterStateCache(): KnownState {
+    return new KnownState({ ...this.#sharedOptions, store: this.openStore('known') });
   }
 
-  createService(
+  createClusterService(
     self: NodeInfo,
-    parts: {
+    options: {
       readonly status: () => NodeStatus;
       readonly greeter: Greeter;
       readonly founding: Founding;
@@ -166,15 +165,24 @@
       readonly quotas?: QuotaHolder;
     },
   ): ClusterService {
-    return new ClusterService({ ...this.#shared, self, ...parts });
+    return new ClusterService({ ...this.#sharedOptions, self, ...options });
   }
 
-  createClient(self: NodeInfo, greeter: Greeter, service: ClusterService): ClusterClient {
+  createClusterClient(
+    self: NodeInfo,
+    heartbeatSender: Greeter,
+    service: ClusterService,
+  ): ClusterClient {
     const { local } = service;
-    return new ClusterClient({ ...this.#shared, selfAddress: self.address, greeter, local });
+    return new ClusterClient({
+      ...this.#sharedOptions,
+      selfAddress: self.address,
+      greeter: heartbeatSender,
+      local,
+    });
   }
 
-  createListener(
+  createRpcServer(
     calls: readonly CallHandlers<SystemContract>[],
     casts: readonly CastHandlers<SystemContract>[],
   ): LinkListener<SystemContract> {
@@ -182,14 +190,14 @@
     return new LinkListener<SystemContract>({ address, logger: this.logger, calls, casts });
   }
 
-  addMetrics(lifeCycle: LifeCycle): void {
+  addMetricsEndpoint(lifeCycle: LifeCycle): void {
     const { metrics: address } = this.settings.listen;
     if (address === undefined) return;
-    const handle = answerMetrics(() => this.metrics.render());
+    const handle = serveMetrics(() => this.metrics.render());
     lifeCycle.add('metrics', new HttpEndpoint({ address, logger: this.logger, handle }));
   }
 
-  get #shared() {
+  get #sharedOptions() {
     const { directory, peers, clock, logger, configuration, view } = this;
     return { directory, peers, clock, logger, configuration, view };
   }
--- a/src/nodes/pause-watch.ts
+++ b/src/nodes/pause-watch.ts
@@ -1,35 +1,34 @@
 import { type Clock, type Component, type Logger, type Metrics, PeriodicTask } from '../core';
 
-/** Pause between looks; milliseconds. */
-const LOOK_MILLISECONDS = 500;
+const CHECK_INTERVAL_MILLISECONDS = 500;
 
-/** Time by which a look must be late to be logged; a loaded process is late by less. */
-const PAUSE_MILLISECONDS = 1000;
+/** Delay of a check that is reported as a pause; longer than delays due to load. */
+const PAUSE_THRESHOLD_MILLISECONDS = 1000;
 
-export interface PauseWatchOptions {
+export interface PauseMonitorOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
 /**
- * Logs when this process did not run for a while, since its host was frozen or its processor
- * withheld: from outside that looks like a cut connection.
+ * Logs pauses of this process, such as a suspended host or missing processor time. Other processes
+ * can't tell them from a network partition.
  */
-export class PauseWatch implements Component {
-  readonly #options: PauseWatchOptions;
+export class PauseMonitor implements Component {
+  readonly #options: PauseMonitorOptions;
   readonly #task: PeriodicTask;
-  #lookedAt = 0;
+  #checkedAt = 0;
 
-  constructor(options: PauseWatchOptions) {
+  constructor(options: PauseMonitorOptions) {
     this.#options = options;
-    this.#task = new PeriodicTask(options.clock, LOOK_MILLISECONDS, () => {
-      this.#look();
+    this.#task = new PeriodicTask(options.clock, CHECK_INTERVAL_MILLISECONDS, () => {
+      this.#check();
     });
   }
 
   start(): void {
-    this.#lookedAt = this.#options.clock.monotonic();
+    this.#checkedAt = this.#options.clock.monotonic();
     this.#task.start();
   }
 
@@ -37,12 +36,12 @@
     this.#task.stop();
   }
 
-  #look(): void {
+  #check(): void {
     const { clock, logger, metrics } = this.#options;
     const now = clock.monotonic();
-    const milliseconds = now - this.#lookedAt - LOOK_MILLISECONDS;
-    this.#lookedAt = now;
-    if (milliseconds < PAUSE_MILLISECONDS) return;
+    const milliseconds = now - this.#checkedAt - CHECK_INTERVAL_MILLISECONDS;
+    this.#checkedAt = now;
+    if (milliseconds < PAUSE_THRESHOLD_MILLISECONDS) return;
     metrics.count('process_pauses_total');
     logger.warn({ event: 'process-paused', milliseconds: Math.round(milliseconds) });
   }
--- a/src/nodes/run.ts
+++ b/src/nodes/run.ts
@@ -8,54 +8,53 @@
 } from '../core';
 import { loadSettings } from '../settings/load';
 import { type NodeSettings, nodeSettingsSchema } from './settings';
-import type { NodeParts, NodePartsOptions } from './node';
-import { SettingsHolder } from './settings-holder';
+import type { NodeContext, NodeContextOptions } from './node';
+import { ReloadableSettings } from './settings-holder';
 
-/** Time in which a process that can't go on still answers that it can't; milliseconds. */
-const FAILURE_MILLISECONDS = 300;
+/** Time between an unrecoverable failure and the exit, for error answers to requests in flight. */
+const FAILURE_EXIT_DELAY_MILLISECONDS = 300;
 
 const EXIT_CODES = { stopped: 0, failed: 1, invalid: 2 } as const;
 
-/** A process that can be run until it is told to stop. */
 export interface RunnableNode {
-  readonly parts: NodeParts;
+  readonly context: NodeContext;
   readonly lifeCycle: LifeCycle;
-  /** What is to be finished before the stop. */
-  leave?(): Promise<void>;
+  /** Finishes the work in flight before the life cycle stops. */
+  drain?(): Promise<void>;
 }
 
 export type CreateNode = (
-  options: Omit<NodePartsOptions, 'kind'>,
+  options: Omit<NodeContextOptions, 'kind'>,
 ) => RunnableNode | Promise<RunnableNode>;
 
 /** Runs one process with the settings in `file` until SIGTERM or SIGINT. */
 export async function runNode(file: string, create: CreateNode): Promise<void> {
-  const settings = loadOrExit(file);
+  const settings = loadSettingsOrExit(file);
   const clock = new SystemClock();
-  const holder = new SettingsHolder({ file, settings, clock });
+  const reloadableSettings = new ReloadableSettings({ file, settings, clock });
   const node: RunnableNode = await create({
     settings,
-    currentSettings: () => holder.current,
+    currentSettings: () => reloadableSettings.current,
     clock,
     random: new SystemRandom(),
     onFailure: () => {
-      clock.after(FAILURE_MILLISECONDS, () => {
-        node.parts.logOutput.stop();
+      clock.after(FAILURE_EXIT_DELAY_MILLISECONDS, () => {
+        node.context.logOutput.stop();
         process.exit(EXIT_CODES.failed);
       });
     },
   });
-  const { logger } = node.parts;
-  holder.logTo(logger);
-  holder.onReload(({ node: { 'log-level': level } }) => {
+  const { logger } = node.context;
+  reloadableSettings.setLogger(logger);
+  reloadableSettings.onReload(({ node: { 'log-level': level } }) => {
     logger.level = level;
   });
-  node.lifeCycle.add('settings', holder);
+  node.lifeCycle.add('settings', reloadableSettings);
   try {
     await node.lifeCycle.start();
   } catch (error) {
     logger.fatal({ event: 'start-failed', error: messageOf(error) });
-    node.parts.logOutput.stop();
+    node.context.logOutput.stop();
     process.exit(EXIT_CODES.failed);
   }
   const { 'first-start': firstStart, seeds } = settings.node;
@@ -63,26 +62,26 @@
   process.once('SIGTERM', () => void stop(node, 'SIGTERM'));
   process.once('SIGINT', () => void stop(node, 'SIGINT'));
   process.on('SIGHUP', () => {
-    holder.reload('SIGHUP');
+    reloadableSettings.reload('SIGHUP');
   });
 }
 
 async function stop(node: RunnableNode, signal: string): Promise<void> {
-  const { logger } = node.parts;
+  const { logger } = node.context;
   logger.info({ event: 'stopping', signal });
   try {
-    await node.leave?.();
+    await node.drain?.();
     logger.info({ event: 'stopped' });
     await node.lifeCycle.stop();
     process.exit(EXIT_CODES.stopped);
   } catch (error) {
     logger.fatal({ event: 'stop-failed', error: messageOf(error) });
-    node.parts.logOutput.stop();
+    node.context.logOutput.stop();
     process.exit(EXIT_CODES.failed);
   }
 }
 
-function loadOrExit(file: string): NodeSettings {
+function loadSettingsOrExit(file: string): NodeSettings {
   try {
     return loadSettings(nodeSettingsSchema, file);
   } catch (error) {
--- a/src/nodes/settings-holder.ts
+++ b/src/nodes/settings-holder.ts
@@ -3,33 +3,33 @@
 import { loadSettings } from '../settings/load';
 import { type NodeSettings, nodeSettingsSchema } from './settings';
 
-/** Pause between looks whether the settings file has changed; milliseconds. */
-const LOOK_MILLISECONDS = 1000;
+const CHECK_INTERVAL_MILLISECONDS = 1000;
 
-export interface SettingsHolderOptions {
+export interface ReloadableSettingsOptions {
   readonly file: string;
   readonly settings: NodeSettings;
   readonly clock: Clock;
 }
 
 /**
- * The settings in force. They are read again when the process is told so and when the file changes; a
- * file that is not valid leaves the old ones in force. Requests under way are not touched.
+ * The current settings, reloaded on request and when the file's modification time changes. An
+ * invalid file is logged and leaves the previous settings in place. Requests in flight are not
+ * affected.
  */
-export class SettingsHolder implements Component {
-  readonly #options: SettingsHolderOptions;
+export class ReloadableSettings implements Component {
+  readonly #options: ReloadableSettingsOptions;
   readonly #task: PeriodicTask;
   readonly #listeners: ((settings: NodeSettings) => void)[] = [];
   #logger: Logger | undefined;
   #current: NodeSettings;
-  #changedAt: number;
+  #modifiedAt: number;
 
-  constructor(options: SettingsHolderOptions) {
+  constructor(options: ReloadableSettingsOptions) {
     this.#options = options;
     this.#current = options.settings;
-    this.#changedAt = modifiedAt(options.file);
-    this.#task = new PeriodicTask(options.clock, LOOK_MILLISECONDS, () => {
-      this.#look();
+    this.#modifiedAt = readModificationTime(options.file);
+    this.#task = new PeriodicTask(options.clock, CHECK_INTERVAL_MILLISECONDS, () => {
+      this.#check();
     });
   }
 
@@ -37,13 +37,13 @@
     return this.#current;
   }
 
-  /** Told of the settings each time they were read again and are valid. */
+  /** Adds a listener that is called after each successful reload. */
   onReload(listener: (settings: NodeSettings) => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Where reloads are logged; the logger exists only after the first reading. */
-  logTo(logger: Logger): void {
+  /** Reloads are not logged before this call: the logger itself depends on the settings. */
+  setLogger(logger: Logger): void {
     this.#logger = logger;
   }
 
@@ -67,15 +67,15 @@
     for (const listener of this.#listeners) listener(this.#current);
   }
 
-  #look(): void {
-    const changedAt = modifiedAt(this.#options.file);
-    if (changedAt === this.#changedAt) return;
-    this.#changedAt = changedAt;
+  #check(): void {
+    const modifiedAt = readModificationTime(this.#options.file);
+    if (modifiedAt === this.#modifiedAt) return;
+    this.#modifiedAt = modifiedAt;
     this.reload('the file has changed');
   }
 }
 
-/** Monotonic only as far as the host's time of day is; a change either way counts. Milliseconds. */
-function modifiedAt(file: string): number {
+/** Wall-clock milliseconds since the Unix epoch, 0 if the file is missing; may go backwards. */
+function readModificationTime(file: string): number {
   return statSync(file, { throwIfNoEntry: false })?.mtimeMs ?? 0;
 }
--- a/src/nodes/settings.ts
+++ b/src/nodes/settings.ts
@@ -2,51 +2,50 @@
 import { addressSchema } from '../core';
 import { decisionSwitchesSchema } from '../decisions';
 
-const addressText = z.string().refine((text) => addressSchema.safeParse(text).success, {
+const addressTextSchema = z.string().refine((text) => addressSchema.safeParse(text).success, {
   error: 'not an IP number with a port; write it like 10.0.0.7:8080',
 });
 
-/** Settings of one process that runs as a gateway or a store. */
+/** Settings of a gateway or store process. */
 export const nodeSettingsSchema = z.strictObject({
   node: z.strictObject({
     name: z.string().min(1),
     'availability-zone': z.string(),
-    /** IP:port of the connections between the system's processes; the port is the same everywhere. */
-    address: addressText,
+    /** IP:port of this process for the other processes; the port is the same on all hosts. */
+    address: addressTextSchema,
     /** Whether this is the first start of the whole system, with all disks empty. */
     'first-start': z.boolean(),
-    /** Operators' addresses of some processes, by which the others are found. */
-    seeds: z.array(addressText).readonly(),
-    /** Hosts with a disk that may be lost at the same time with nothing lost. */
+    /** Operator addresses of some processes, from which the others are discovered. */
+    seeds: z.array(addressTextSchema).readonly(),
+    /** Number of hosts with a disk that may fail at the same time without data loss. */
     'tolerated-losses': z.int().nonnegative(),
-    /** Time from the signal to stop until the process is killed; seconds. */
+    /** Time from the stop signal until the process is killed. */
     'stop-seconds': z.number().positive(),
-    /** Folder on the host's disk; left out where there is none. */
+    /** Folder on the host's disk; absent if it has none. */
     'data-folder': z.string().optional(),
     'log-level': z.enum(['debug', 'info', 'warn', 'error']).default('info'),
   }),
   listen: z.strictObject({
-    callers: addressText.optional(),
-    readiness: addressText.optional(),
-    operators: addressText.optional(),
-    metrics: addressText.optional(),
+    callers: addressTextSchema.optional(),
+    readiness: addressTextSchema.optional(),
+    operators: addressTextSchema.optional(),
+    metrics: addressTextSchema.optional(),
   }),
   'target-list': z.strictObject({
-    address: addressText,
-    /** Calls a second that all processes may make together. */
+    address: addressTextSchema,
+    /** Rate limit of all processes together. */
     'calls-per-second': z.number().positive(),
   }),
-  /** What holds for teams, where the configuration has them. */
   teams: z
     .strictObject({
       /**
-       * Time after the acknowledgement of a key's removal in which no request may run under it any more, at
-       * any process; left out where a removal may take as long as any other change. Milliseconds.
+       * Maximum time from the acknowledgement of a key's removal until no process runs a request with
+       * that key; if absent, a removal takes as long as any other configuration change.
        */
       'key-removal-milliseconds': z.number().positive().optional(),
     })
     .prefault({}),
-  /** Mechanisms that are switched off, for measurements; left out, all are in use. */
+  /** Switches mechanisms off for benchmarks; all are enabled by default. */
   decisions: decisionSwitchesSchema.prefault({}),
 });
 
--- a/src/nodes/store-node.ts
+++ b/src/nodes/store-node.ts
@@ -1,20 +1,20 @@
 import { LifeCycle, messageOf } from '../core';
 import { Backfill, TurnJournal, TurnStore } from '../turns';
-import { NodeParts, type NodePartsOptions } from './node';
-import { PauseWatch } from './pause-watch';
+import { NodeContext, type NodeContextOptions } from './node';
+import { PauseMonitor } from './pause-watch';
 
-/** A process that keeps turns and budgets on its host's disk. */
+/** Creates a store, which keeps turns and budgets on its host's disk. */
 export async function createStoreNode(
-  options: Omit<NodePartsOptions, 'kind'>,
-): Promise<{ readonly parts: NodeParts; readonly lifeCycle: LifeCycle }> {
-  const parts = new NodeParts({ ...options, kind: 'store' });
-  const { clock, random, logger, metrics, view, configuration, peers } = parts;
-  const journal = new TurnJournal(parts.openStore('turns'), random, (error) => {
+  options: Omit<NodeContextOptions, 'kind'>,
+): Promise<{ readonly context: NodeContext; readonly lifeCycle: LifeCycle }> {
+  const context = new NodeContext({ ...options, kind: 'store' });
+  const { clock, random, logger, metrics, view, configuration, peers } = context;
+  const journal = new TurnJournal(context.openStore('turns'), random, (error) => {
     logger.fatal({ event: 'storage-failed', error: messageOf(error) });
     options.onFailure();
   });
   await journal.open();
-  const self = parts.describe(false, journal.dataLife);
+  const self = context.describeSelf(false, journal.dataLife);
   const backfill = new Backfill({ self: self.name, journal, peers, clock, random, logger });
   const store = new TurnStore({ self: self.name, journal, backfill, view, clock, logger, metrics });
   const status = () => ({
@@ -22,20 +22,25 @@
     viewEpoch: view.number,
     completeFor: journal.completeFor,
   });
-  const greeter = parts.createGreeter(self, status);
-  const founding = parts.createFounding(self);
-  const service = parts.createService(self, { status, greeter, founding, keeper: undefined });
+  const heartbeatSender = context.createHeartbeatSender(self, status);
+  const bootstrap = context.createBootstrap(self);
+  const service = context.createClusterService(self, {
+    status,
+    greeter: heartbeatSender,
+    founding: bootstrap,
+    keeper: undefined,
+  });
   metrics.gauge('turns', () => journal.table.turnCount);
   const lifeCycle = new LifeCycle();
-  lifeCycle.add('log', parts.logOutput);
-  lifeCycle.add('pause-watch', new PauseWatch(parts));
-  lifeCycle.add('peers', parts.peers);
+  lifeCycle.add('log', context.logOutput);
+  lifeCycle.add('pause-monitor', new PauseMonitor(context));
+  lifeCycle.add('peers', context.peers);
   lifeCycle.add('store', store);
   lifeCycle.add(
-    'listener',
-    parts.createListener([service.calls, store.calls], [service.casts, store.casts]),
+    'rpc-server',
+    context.createRpcServer([service.calls, store.calls], [service.casts, store.casts]),
   );
-  lifeCycle.add('greeter', greeter);
-  parts.addMetrics(lifeCycle);
-  return { parts, lifeCycle };
+  lifeCycle.add('heartbeat', heartbeatSender);
+  context.addMetricsEndpoint(lifeCycle);
+  return { context, lifeCycle };
 }
--- a/src/nodes/team-parts.ts
+++ b/src/nodes/team-parts.ts
@@ -2,27 +2,27 @@
 import { KeyGuard, QuotaGate } from '../gateway';
 import { QuotaClient } from '../quotas';
 import type { RouteTable } from '../routes';
-import type { NodeParts } from './node';
+import type { NodeContext } from './node';
 
-export interface TeamPartsOptions {
-  readonly parts: NodeParts;
+export interface TeamAccessControlOptions {
+  readonly context: NodeContext;
   readonly self: NodeInfo;
   readonly client: ClusterClient;
   readonly confirmation: Confirmation;
-  /** The newest routes that this process can read. */
+  /** Routes of the newest valid configuration; `undefined` before the first one. */
   readonly routes: () => RouteTable | undefined;
 }
 
-/** What holds a gateway's callers to their teams' keys and quotas. */
-export interface TeamParts {
+/** Enforces teams' keys and quotas at a gateway. */
+export interface TeamAccessControl {
   readonly keyGuard: KeyGuard;
   readonly quotas: QuotaClient;
   readonly quotaGate: QuotaGate;
 }
 
-export function createTeamParts(options: TeamPartsOptions): TeamParts {
-  const { parts, self, client, confirmation, routes } = options;
-  const { clock, logger, metrics, random, settings, configuration } = parts;
+export function createTeamAccessControl(options: TeamAccessControlOptions): TeamAccessControl {
+  const { context, self, client, confirmation, routes } = options;
+  const { clock, logger, metrics, random, settings, configuration } = context;
   const keyGuard = new KeyGuard({
     routes,
     newestVersion: () => configuration.number,
--- a/src/nodes/tests/pause-watch.test.ts
+++ b/src/nodes/tests/pause-watch.test.ts
@@ -1,43 +1,43 @@
 import { type Logger, Metrics } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
-import { PauseWatch } from '../pause-watch';
+import { PauseMonitor } from '../pause-watch';
 
 const STEP_MILLISECONDS = 250;
 
-describe('a process that did not run for a while', () => {
+describe('PauseMonitor', () => {
   const clock = new ManualClock();
   const warn = jest.fn();
-  const watch = new PauseWatch({
+  const monitor = new PauseMonitor({
     clock,
     logger: { warn } as unknown as Logger,
     metrics: new Metrics(),
   });
 
-  /** Lets the process run for a while; a look ends before the next one is due. */
-  const run = async (milliseconds: number) => {
-    for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
+  /** Advances the clock without a pause: each check completes before the next one is due. */
+  const advance = async (milliseconds: number) => {
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += STEP_MILLISECONDS) {
       clock.advance(STEP_MILLISECONDS);
       await new Promise(setImmediate);
     }
   };
 
   beforeAll(() => {
-    watch.start();
+    monitor.start();
   });
 
-  it('says nothing while it runs', async () => {
-    await run(5000);
+  it('logs nothing while the process runs', async () => {
+    await advance(5000);
     expect(warn).not.toHaveBeenCalled();
   });
 
-  it('says for how long it did not', async () => {
+  it('logs the duration of a pause', async () => {
     clock.jump(6500);
     await new Promise(setImmediate);
     expect(warn.mock.calls).toEqual([[{ event: 'process-paused', milliseconds: 6000 }]]);
   });
 
-  it('says it once', async () => {
-    await run(5000);
+  it('logs a pause only once', async () => {
+    await advance(5000);
     expect(warn).toHaveBeenCalledTimes(1);
   });
 });
--- a/src/nodes/tests/settings-holder.test.ts
+++ b/src/nodes/tests/settings-holder.test.ts
@@ -5,9 +5,9 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import { loadSettings } from '../../settings/load';
 import { nodeSettingsSchema } from '../settings';
-import { SettingsHolder } from '../settings-holder';
+import { ReloadableSettings } from '../settings-holder';
 
-function textWith(seed: string, level = 'info'): string {
+function settingsText(seed: string, level = 'info'): string {
   return `
 [node]
 name = "g1"
@@ -25,7 +25,7 @@
 `;
 }
 
-describe('settings that are read again', () => {
+describe('ReloadableSettings', () => {
   const folder = mkdtempSync(join(tmpdir(), 'settings-'));
   const file = join(folder, 'settings.toml');
   const clock = new ManualClock();
@@ -34,41 +34,41 @@
     rmSync(folder, { recursive: true });
   });
 
-  function createHolder() {
-    writeFileSync(file, textWith('10.0.0.1:1'));
-    const settings = loadSettings(nodeSettingsSchema, file);
-    const holder = new SettingsHolder({ file, settings, clock });
+  function createReloadableSettings() {
+    writeFileSync(file, settingsText('10.0.0.1:1'));
+    const initial = loadSettings(nodeSettingsSchema, file);
+    const settings = new ReloadableSettings({ file, settings: initial, clock });
     const { logger, lines } = collectLog();
-    holder.logTo(logger);
-    return { holder, lines };
+    settings.setLogger(logger);
+    return { settings, lines };
   }
 
-  it('are in force after a reload, and listeners are told', () => {
-    const { holder, lines } = createHolder();
+  it('applies the file on reload and calls the listeners', () => {
+    const { settings, lines } = createReloadableSettings();
     const levels: string[] = [];
-    holder.onReload(({ node }) => levels.push(node['log-level']));
-    writeFileSync(file, textWith('10.0.0.2:1', 'debug'));
-    holder.reload('SIGHUP');
-    expect(holder.current.node.seeds).toEqual(['10.0.0.2:1']);
+    settings.onReload(({ node }) => levels.push(node['log-level']));
+    writeFileSync(file, settingsText('10.0.0.2:1', 'debug'));
+    settings.reload('SIGHUP');
+    expect(settings.current.node.seeds).toEqual(['10.0.0.2:1']);
     expect(levels).toEqual(['debug']);
     expect(lines).toMatchObject([{ event: 'settings-reloaded', reason: 'SIGHUP' }]);
   });
 
-  it('are in force within a second of a change that nobody tells', () => {
-    const { holder } = createHolder();
-    holder.start();
-    writeFileSync(file, textWith('10.0.0.3:1'));
+  it('reloads within a second after the file changes without a signal', () => {
+    const { settings } = createReloadableSettings();
+    settings.start();
+    writeFileSync(file, settingsText('10.0.0.3:1'));
     utimesSync(file, 1, 1);
     clock.advance(1000);
-    holder.stop();
-    expect(holder.current.node.seeds).toEqual(['10.0.0.3:1']);
+    settings.stop();
+    expect(settings.current.node.seeds).toEqual(['10.0.0.3:1']);
   });
 
-  it('stay as they were where the file is not valid, and the reason is logged', () => {
-    const { holder, lines } = createHolder();
-    writeFileSync(file, textWith('no address'));
-    holder.reload('SIGHUP');
-    expect(holder.current.node.seeds).toEqual(['10.0.0.1:1']);
+  it('keeps the previous settings and logs the reason when the file is invalid', () => {
+    const { settings, lines } = createReloadableSettings();
+    writeFileSync(file, settingsText('no address'));
+    settings.reload('SIGHUP');
+    expect(settings.current.node.seeds).toEqual(['10.0.0.1:1']);
     expect(lines).toMatchObject([{ event: 'settings-invalid', reason: 'SIGHUP' }]);
     expect(String(lines[0]?.['error'])).toContain('seeds');
   });
