--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -61,10 +61,10 @@
 }
 
 export interface GatewayNode {
-  readonly context: NodeContext;
+  readonly parts: NodeContext;
   readonly lifeCycle: LifeCycle;
   /** Transfers leadership and waits for the requests in flight, within `stop-seconds`. */
-  drain(): Promise<void>;
+  leave(): Promise<void>;
 }
 
 /** Creates a gateway; on a host with a disk it also keeps a replica of the cluster's state. */
@@ -211,9 +211,9 @@
   context.addMetricsEndpoint(lifeCycle);
 
   return {
-    context,
+    parts: context,
     lifeCycle,
-    drain: async () => {
+    leave: async () => {
       isDraining = true;
       const leadershipTransfer = replicaComponents?.member.handOver();
       const totalMilliseconds =
--- a/src/nodes/run.ts
+++ b/src/nodes/run.ts
@@ -17,10 +17,10 @@
 const EXIT_CODES = { stopped: 0, failed: 1, invalid: 2 } as const;
 
 export interface RunnableNode {
-  readonly context: NodeContext;
+  readonly parts: NodeContext;
   readonly lifeCycle: LifeCycle;
   /** Finishes the work in flight before the life cycle stops. */
-  drain?(): Promise<void>;
+  leave?(): Promise<void>;
 }
 
 export type CreateNode = (
@@ -39,12 +39,12 @@
     random: new SystemRandom(),
     onFailure: () => {
       clock.after(FAILURE_EXIT_DELAY_MILLISECONDS, () => {
-        node.context.logOutput.stop();
+        node.parts.logOutput.stop();
         process.exit(EXIT_CODES.failed);
       });
     },
   });
-  const { logger } = node.context;
+  const { logger } = node.parts;
   reloadableSettings.setLogger(logger);
   reloadableSettings.onReload(({ node: { 'log-level': level } }) => {
     logger.level = level;
@@ -54,7 +54,7 @@
     await node.lifeCycle.start();
   } catch (error) {
     logger.fatal({ event: 'start-failed', error: messageOf(error) });
-    node.context.logOutput.stop();
+    node.parts.logOutput.stop();
     process.exit(EXIT_CODES.failed);
   }
   const { 'first-start': firstStart, seeds } = settings.node;
@@ -67,16 +67,16 @@
 }
 
 async function stop(node: RunnableNode, signal: string): Promise<void> {
-  const { logger } = node.context;
+  const { logger } = node.parts;
   logger.info({ event: 'stopping', signal });
   try {
-    await node.drain?.();
+    await node.leave?.();
     logger.info({ event: 'stopped' });
     await node.lifeCycle.stop();
     process.exit(EXIT_CODES.stopped);
   } catch (error) {
     logger.fatal({ event: 'stop-failed', error: messageOf(error) });
-    node.context.logOutput.stop();
+    node.parts.logOutput.stop();
     process.exit(EXIT_CODES.failed);
   }
 }
--- a/src/nodes/store-node.ts
+++ b/src/nodes/store-node.ts
@@ -6,7 +6,7 @@
 /** Creates a store, which keeps turns and budgets on its host's disk. */
 export async function createStoreNode(
   options: Omit<NodeContextOptions, 'kind'>,
-): Promise<{ readonly context: NodeContext; readonly lifeCycle: LifeCycle }> {
+): Promise<{ readonly parts: NodeContext; readonly lifeCycle: LifeCycle }> {
   const context = new NodeContext({ ...options, kind: 'store' });
   const { clock, random, logger, metrics, view, configuration, peers } = context;
   const journal = new TurnJournal(context.openStore('turns'), random, (error) => {
@@ -42,5 +42,5 @@
   );
   lifeCycle.add('heartbeat', heartbeatSender);
   context.addMetricsEndpoint(lifeCycle);
-  return { context, lifeCycle };
+  return { parts: context, lifeCycle };
 }
