--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -178,7 +178,7 @@
   /** Whether the response started after the route's target latency; undefined if none started. */
   #isLate(): boolean | undefined {
     if (this.#firstByteMilliseconds === undefined || this.#route === undefined) return undefined;
-    return this.#firstByteMilliseconds > this.#route.aimMilliseconds;
+    return this.#firstByteMilliseconds > this.#route.targetLatencyMilliseconds;
   }
 
   #markConnectionClosing(): void {
--- a/src/gateway/tests/forwarder.test.ts
+++ b/src/gateway/tests/forwarder.test.ts
@@ -26,7 +26,7 @@
   pathPrefix: '/',
   kind: 'once',
   timeoutMilliseconds: 1000,
-  aimMilliseconds: 100,
+  targetLatencyMilliseconds: 100,
   priority: 0,
   services: [{ service: 's', weight: 1 }],
   attempts: 2,
--- a/src/gateway/tests/graceful-shutdown.test.ts
+++ b/src/gateway/tests/graceful-shutdown.test.ts
@@ -36,7 +36,7 @@
       pathPrefix: '/',
       kind: 'repeatable',
       timeoutMilliseconds: 10_000,
-      aimMilliseconds: 100,
+      targetLatencyMilliseconds: 100,
       priority: 0,
       services: [{ service: 's', weight: 1 }],
       attempts: 1,
--- a/src/gateway/tests/turn-handler.test.ts
+++ b/src/gateway/tests/turn-handler.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import { DEFAULT_DECISION_SWITCHES, type Refusal } from '../../decisions';
 import type { Route, RouteTable } from '../../routes';
-import { type TurnClient, TurnsUnavailable } from '../../turns';
+import { type TurnClient, TurnsUnavailableError } from '../../turns';
 import type { Exchange } from '../exchange';
 import type { Forwarder } from '../forwarder';
 import { QuotaGate } from '../quota-gate';
@@ -36,7 +36,7 @@
   const turns = {
     reserve: ({ deadline }: { readonly deadline: number }) => {
       deadlines.push(deadline - clock.monotonic());
-      return Promise.reject(new TurnsUnavailable('too few stores answer'));
+      return Promise.reject(new TurnsUnavailableError('too few stores answer'));
     },
     settle: () => undefined,
   } as unknown as TurnClient;
@@ -73,7 +73,7 @@
  * Handles a turn while 20 requests are in flight for 10 slots; `taken`: tokens that its program has
  * used.
  */
-async function handleInOverload(taken: number, previousTurn?: string) {
+async function handleInOverload(committedTokens: number, previousTurn?: string) {
   const clock = new ManualClock();
   const refusals: Refusal[] = [];
   const settled: number[] = [];
@@ -89,7 +89,7 @@
     refuse: (refusal: Refusal) => refusals.push(refusal),
   } as unknown as Exchange;
   const turns = {
-    reserve: () => Promise.resolve({ fits: true, taken }),
+    reserve: () => Promise.resolve({ fits: true, committedTokens }),
     chain: () => Promise.resolve({ kind: 'found', records: [] }),
     settle: (_program: string, _turn: string, tokens: number) => settled.push(tokens),
   } as unknown as TurnClient;
--- a/src/gateway/turn-preparer.ts
+++ b/src/gateway/turn-preparer.ts
@@ -3,10 +3,10 @@
 import type { Route, RouteTable } from '../routes';
 import {
   type ReserveOutcome,
-  type StoreWatch,
+  type QuorumMonitor,
   type TurnClient,
   type TurnRecord,
-  TurnsUnavailable,
+  TurnsUnavailableError,
 } from '../turns';
 import type { Exchange } from './exchange';
 
@@ -38,7 +38,7 @@
 
 export interface TurnPreparerOptions {
   readonly turns: Pick<TurnClient, 'reserve' | 'chain' | 'settle'>;
-  readonly watch: Pick<StoreWatch, 'reachesQuorum'>;
+  readonly watch: Pick<QuorumMonitor, 'reachesQuorum'>;
   readonly clock: Clock;
 }
 
@@ -74,8 +74,8 @@
       parts: head.parts.length,
       budget: head.budget,
       most: head.maxTokens,
-      taken: reserved instanceof TurnsUnavailable ? 'unknown' : reserved.taken,
-      chain: chain instanceof TurnsUnavailable ? 'unknown' : chain.kind,
+      taken: reserved instanceof TurnsUnavailableError ? 'unknown' : reserved.committedTokens,
+      chain: chain instanceof TurnsUnavailableError ? 'unknown' : chain.kind,
       milliseconds: Math.round(clock.monotonic() - startedAt),
     });
     const admission = admitTurn({
@@ -84,23 +84,25 @@
       reachesQuorum: watch.reachesQuorum,
     });
     if (admission.kind === 'refused') return admission;
-    const taken = reserved instanceof TurnsUnavailable ? 0 : reserved.taken;
+    const taken = reserved instanceof TurnsUnavailableError ? 0 : reserved.committedTokens;
     const startsProgram = previous === undefined && taken === 0;
     return { ...admission, startsProgram };
   }
 
   #reserve({ exchange, program, id }: Turn, deadline: number): Promise<ReserveOutcome> {
     const { budget, maxTokens } = exchange.head;
-    if (budget === undefined) return Promise.resolve({ fits: true, taken: 0 });
+    if (budget === undefined) return Promise.resolve({ fits: true, committedTokens: 0 });
     const { turns } = this.#options;
-    return turns.reserve({ program, turn: id, most: maxTokens, budget, deadline });
+    return turns.reserve({ program, turn: id, maxTokens, budget, deadline });
   }
 
-  async #catchUnavailable<Value>(query: () => Promise<Value>): Promise<Value | TurnsUnavailable> {
+  async #catchUnavailable<Value>(
+    query: () => Promise<Value>,
+  ): Promise<Value | TurnsUnavailableError> {
     try {
       return await query();
     } catch (error) {
-      if (error instanceof TurnsUnavailable) return error;
+      if (error instanceof TurnsUnavailableError) return error;
       throw error;
     }
   }
@@ -113,9 +115,10 @@
 }
 
 function toLearned<Result, Value>(
-  result: Result | TurnsUnavailable,
+  result: Result | TurnsUnavailableError,
   read: (result: Result) => Value,
 ): StoreResult<Value> {
-  if (result instanceof TurnsUnavailable) return { kind: 'unavailable', reason: result.message };
+  if (result instanceof TurnsUnavailableError)
+    return { kind: 'unavailable', reason: result.message };
   return { kind: 'known', value: read(result) };
 }
--- a/src/nodes/index.ts
+++ b/src/nodes/index.ts
@@ -7,5 +7,5 @@
   createGatewayNode,
 } from './gateway-node';
 export { type CreateNode, runNode } from './run';
-export { type NodeSettings, nodeSettingsSchema } from './settings';
+export { type NodeSettings, nodeSettingsSchema } from './node-settings';
 export { createStoreNode } from './store-node';
--- a/src/routes/index.ts
+++ b/src/routes/index.ts
@@ -1,4 +1,4 @@
-export { checkRouteConfiguration } from './check';
+export { validateRouteConfiguration } from './validation';
 export type {
   CallerLimits,
   EngineSettings,
@@ -8,4 +8,4 @@
   RouteService,
   Service,
 } from './configuration';
-export { RouteTable, pickService } from './table';
+export { RouteTable, pickService } from './route-table';
--- a/src/turns/index.ts
+++ b/src/turns/index.ts
@@ -1,11 +1,11 @@
-export { type BudgetVerdict, type ReserveOutcome, judgeBudget } from './budget';
+export { type BudgetEvaluation, type ReserveOutcome, evaluateBudget } from './reservation-budget';
 export { ChainCache } from './chain-cache';
 export { type ChainLookup, TurnClient, type TurnClientOptions } from './client';
 export type { TurnContract } from './contract';
-export { TurnsUnavailable } from './errors';
-export { Filler } from './filler';
+export { TurnsUnavailableError } from './errors';
+export { Backfill } from './backfill';
 export { TurnJournal } from './journal';
 export { type Reservation, type TurnRecord, type TurnRow, decodeRow, encodeRow } from './records';
 export { TurnStore } from './store';
-export { StoreWatch } from './store-watch';
+export { QuorumMonitor } from './quorum-monitor';
 export { TurnTable } from './table';
--- /dev/null
+++ b/src/turns/reservation-budget.ts
@@ -0,0 +1,59 @@
+import type { ReservationsAnswer } from './contract';
+import type { Reservation } from './records';
+
+export interface ReserveOptions {
+  readonly program: string;
+  readonly turn: string;
+  /** Upper bound on the tokens that the turn generates. */
+  readonly maxTokens: number;
+  /** Tokens that all turns of the program may generate together. */
+  readonly budget: number;
+  /** Monotonic time, milliseconds. */
+  readonly deadline: number;
+}
+
+export interface ReserveOutcome {
+  readonly fits: boolean;
+  /** Tokens that the program's other turns have generated or reserved. */
+  readonly committedTokens: number;
+}
+
+/** Result of checking a reservation, stored at a quorum, against the program's budget. */
+export interface BudgetEvaluation {
+  /** `contended`: fits once the unsettled reservations with greater turn ids are released. */
+  readonly kind: 'fits' | 'contended' | 'spent';
+  /** Tokens that the program's other turns have generated or reserved. */
+  readonly committedTokens: number;
+}
+
+/** Checks a reservation against the union of the other reservations in the stores' answers. */
+export function evaluateBudget(
+  answers: readonly ReservationsAnswer[],
+  { turn, maxTokens: most, budget }: Pick<ReserveOptions, 'turn' | 'maxTokens' | 'budget'>,
+): BudgetEvaluation {
+  let committedTokens = 0;
+  let committedBefore = 0;
+  for (const reservation of reservationsOfOtherTurns(answers, turn)) {
+    committedTokens += reservation.tokens;
+    const hasPrecedence = reservation.settled || reservation.turn < turn;
+    if (hasPrecedence) committedBefore += reservation.tokens;
+  }
+  if (committedTokens + most <= budget) return { kind: 'fits', committedTokens };
+  return { kind: committedBefore + most <= budget ? 'contended' : 'spent', committedTokens };
+}
+
+/** Merges the answers by turn; a reservation that any store holds as settled is settled. */
+function reservationsOfOtherTurns(
+  answers: readonly ReservationsAnswer[],
+  turn: string,
+): Iterable<Reservation> {
+  const others = new Map<string, Reservation>();
+  for (const { reservations } of answers) {
+    for (const reservation of reservations) {
+      if (reservation.turn === turn) continue;
+      const present = others.get(reservation.turn);
+      if (present?.settled !== true) others.set(reservation.turn, reservation);
+    }
+  }
+  return others.values();
+}
