--- a/src/control/announce.ts
+++ b/src/control/announce.ts
@@ -1,8 +1,15 @@
 import type { Command } from '../state';
-import { CHANGE_KEYS, type Notifier } from './notifier';
+import { CHANGE_KEYS, type ChangeNotifier } from './notifier';
 
-/** Wakes the calls that wait for what a command has changed; tells of orders it may have brought. */
-export function announce(notifier: Notifier, command: Command, onOrders: () => void): void {
+/**
+ * Wakes calls that wait for the program that `command` changed; `onOrders` runs if the command may
+ * have created orders.
+ */
+export function notifyChange(
+  notifier: ChangeNotifier,
+  command: Command,
+  onOrders: () => void,
+): void {
   switch (command.kind) {
     case 'forget-programs':
     case 'confirm-orders':
@@ -14,7 +21,7 @@
     case 'resolve-step':
       notifier.notify(CHANGE_KEYS.program(command.input.program));
       return;
-    // The end of a program brings orders, and so does a turn that outlasts its program.
+    // Orders are created when a program ends and when a turn finishes after its program ended.
     case 'abandon-step':
     case 'complete-step':
     case 'end-program':
--- a/src/control/group.ts
+++ b/src/control/group.ts
@@ -2,35 +2,34 @@
 import { type Clock, type Logger, type RandomSource, messageOf } from '../core';
 import { ReplicatedLog, type ReplicatedLogOptions, type StateMachine } from '../replication';
 import type { ControlSettings } from '../settings';
-import type { CommandResult, ProgramStateMachine, SnapshotContents } from '../state';
+import type { CommandResult, ProgramStateMachine, SnapshotContentStore } from '../state';
 import { ContentStore, QuarantiningStore, type RecordStore, markDamaged } from '../storage';
 import type { SharedTicker } from './ticker';
 import type { ControlTransport } from './transport';
 
-/** This host's part in a group of programs. */
-export interface ProgramGroupMember {
+/** This host's replica of a program group. */
+export interface ProgramGroupReplica {
   readonly name: string;
   readonly log: ReplicatedLog<CommandResult>;
   readonly machine: ProgramStateMachine;
-  /** Histories and answers. */
-  readonly contents: SnapshotContents;
+  /** Message histories and answers of the group's programs. */
+  readonly contents: SnapshotContentStore;
 }
 
-/** What the logs of all groups of one host share. */
-export interface GroupParts {
+/** Dependencies shared by the logs of all groups of one host. */
+export interface GroupContext {
   readonly settings: ControlSettings;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly transport: ControlTransport;
   readonly ticker: SharedTicker;
-  /** Called when the process can't go on, after the reason was logged. */
+  /** Called after an unrecoverable storage failure has been logged. */
   readonly onFailure: () => void;
-  /** The store of a group; a file store under the data folder unless given. */
+  /** Log store of a group; by default a file store in the data folder. */
   readonly storeFor?: ((group: string) => RecordStore) | undefined;
 }
 
-/** One group of this host. */
 export interface GroupOptions<Result> {
   readonly name: string;
   readonly hosts: readonly string[];
@@ -38,17 +37,16 @@
   readonly onChange: (log: ReplicatedLog<Result>) => void;
 }
 
-/** Builds this host's log of one group. */
 export function createGroupLog<Result>(
-  parts: GroupParts,
+  context: GroupContext,
   group: GroupOptions<Result>,
 ): ReplicatedLog<Result> {
-  const { settings, clock, random, logger, transport, ticker, onFailure } = parts;
+  const { settings, clock, random, logger, transport, ticker, onFailure } = context;
   const { host, control } = settings;
   const options: ReplicatedLogOptions<Result> = {
     self: host.name,
     hosts: () => group.hosts,
-    store: (parts.storeFor ?? ((name) => openStore(parts, name, group.hosts)))(group.name),
+    store: (context.storeFor ?? ((name) => openStore(context, name, group.hosts)))(group.name),
     transport: transport.forGroup(group.name),
     machine: group.machine,
     clock,
@@ -74,9 +72,9 @@
   return log;
 }
 
-/** The store of this host's own log; only a member that has peers may lose what is damaged. */
+/** Opens a file store; damaged files are quarantined only if the group has other members. */
 function openStore(
-  { settings, logger }: GroupParts,
+  { settings, logger }: GroupContext,
   group: string,
   hosts: readonly string[],
 ): RecordStore {
@@ -92,9 +90,9 @@
   });
 }
 
-/** The store of the histories and answers of one group. */
-export function createContents(parts: GroupParts, group: string): ContentStore {
-  const { settings, logger, onFailure } = parts;
+/** Creates the store of the message histories and answers of one group. */
+export function createContentStore(context: GroupContext, group: string): ContentStore {
+  const { settings, logger, onFailure } = context;
   return new ContentStore({
     folder: join(settings.control['data-folder'], 'contents', group),
     cacheCharacters: settings.control['history-cache-megabytes'] * CHARACTERS_PER_MEGABYTE,
@@ -109,5 +107,5 @@
   });
 }
 
-/** Histories are mostly of one byte a character. */
+/** Assumes one byte per character, as in mostly ASCII histories. */
 const CHARACTERS_PER_MEGABYTE = 1_000_000;
--- a/src/control/host-list.ts
+++ b/src/control/host-list.ts
@@ -11,28 +11,27 @@
   startTimeout,
 } from '../core';
 
-/** The platform's list, as it answers `GET /`. */
+/** The platform's response to `GET /`. */
 const hostListSchema = z.object({
   hosts: z.array(z.looseObject({ host: z.string(), state: z.string() })),
 });
 
-/** Longest wait for the list; milliseconds. */
-const READ_MILLISECONDS = 1000;
+const READ_TIMEOUT_MILLISECONDS = 1000;
 
 export interface HostListReaderOptions {
   readonly address: Address;
-  readonly milliseconds: number;
+  readonly intervalMilliseconds: number;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Whether this host is the one to read the list: only the leader of the configuration does. */
-  readonly reads: () => boolean;
-  /** Told of the hosts that the list shows, by state. */
-  readonly onHosts: (leaving: readonly string[], live: readonly string[]) => void;
+  /** Whether to read the list; true only on the leader of the configuration group. */
+  readonly isEnabled: () => boolean;
+  /** Called after each read with the names of the hosts whose state is `leaving` or `live`. */
+  readonly onHosts: (draining: readonly string[], live: readonly string[]) => void;
 }
 
 /**
- * Reads the platform's list of hosts again and again. The list lags, so that it is a hint that a
- * host is to leave, and proves neither life nor death. While it can't be read nothing changes.
+ * Polls the platform's host list. The list lags behind: it shows which hosts are leaving, but is no
+ * proof that a host is up or down. A failed read is logged and changes nothing.
  */
 export class HostListReader implements Component {
   readonly #options: HostListReaderOptions;
@@ -40,7 +39,7 @@
 
   constructor(options: HostListReaderOptions) {
     this.#options = options;
-    this.#task = new PeriodicTask(options.clock, options.milliseconds, () => this.read());
+    this.#task = new PeriodicTask(options.clock, options.intervalMilliseconds, () => this.read());
   }
 
   start(): void {
@@ -51,18 +50,17 @@
     this.#task.stop();
   }
 
-  /** Reads the list once. */
   async read(): Promise<void> {
-    const { address, clock, logger, reads, onHosts } = this.#options;
-    if (!reads()) return;
-    const { controller, cancel } = startTimeout(clock, READ_MILLISECONDS);
+    const { address, clock, logger, isEnabled, onHosts } = this.#options;
+    if (!isEnabled()) return;
+    const { controller, cancel } = startTimeout(clock, READ_TIMEOUT_MILLISECONDS);
     try {
       const url = `http://${formatAddress(address)}/`;
-      const answer = await request(url, { signal: controller.signal });
-      const { hosts } = hostListSchema.parse(await answer.body.json());
-      const named = (state: string) =>
+      const response = await request(url, { signal: controller.signal });
+      const { hosts } = hostListSchema.parse(await response.body.json());
+      const hostsInState = (state: string) =>
         hosts.filter((entry) => entry.state === state).map((entry) => entry.host);
-      onHosts(named('leaving'), named('live'));
+      onHosts(hostsInState('leaving'), hostsInState('live'));
     } catch (error) {
       logger.warn({ event: 'host-list-unreadable', error: messageOf(error) });
     } finally {
--- a/src/control/liveness.ts
+++ b/src/control/liveness.ts
@@ -1,13 +1,13 @@
 import { type Clock, type Logger, messageOf } from '../core';
 import type { ControlClient } from '../protocol';
 
-/** How long an answer counts, and how long one is waited for; milliseconds. */
-const FRESH_MILLISECONDS = 250;
-const ASK_MILLISECONDS = 1000;
+/** Time for which a result is reused. */
+const CACHE_MILLISECONDS = 250;
+const QUERY_TIMEOUT_MILLISECONDS = 1000;
 
-interface Known {
+interface CachedLiveness {
   readonly dead: boolean;
-  readonly askedAt: number;
+  readonly queriedAt: number;
 }
 
 export interface EntryLivenessOptions {
@@ -17,39 +17,42 @@
 }
 
 /**
- * Whether entry processes have ended, as the leader of the configuration knows it. The leaders of
- * the other groups ask only when a step waits for another entry, which is seldom.
+ * Asks the leader of the configuration group whether entry processes have ended. Queried only when
+ * a step waits for an attempt of another entry.
  */
 export class EntryLiveness {
   readonly #options: EntryLivenessOptions;
-  readonly #known = new Map<string, Known>();
+  readonly #cache = new Map<string, CachedLiveness>();
 
   constructor(options: EntryLivenessOptions) {
     this.#options = options;
   }
 
-  /** Whether an entry, as name/incarnation, has surely ended; no when nobody can tell. */
+  /** Whether an entry, as name/incarnation, has ended; false if the leader can't be reached. */
   async isDead(identity: string): Promise<boolean> {
     const { clock } = this.#options;
-    const known = this.#known.get(identity);
-    if (known !== undefined && clock.monotonic() - known.askedAt < FRESH_MILLISECONDS) {
-      return known.dead;
+    const cached = this.#cache.get(identity);
+    if (cached !== undefined && clock.monotonic() - cached.queriedAt < CACHE_MILLISECONDS) {
+      return cached.dead;
     }
-    const dead = await this.#ask(identity);
+    const dead = await this.#query(identity);
     const now = clock.monotonic();
-    for (const [other, { askedAt }] of this.#known) {
-      if (now - askedAt >= FRESH_MILLISECONDS) this.#known.delete(other);
+    for (const [other, { queriedAt }] of this.#cache) {
+      if (now - queriedAt >= CACHE_MILLISECONDS) this.#cache.delete(other);
     }
-    this.#known.set(identity, { dead, askedAt: now });
+    this.#cache.set(identity, { dead, queriedAt: now });
     return dead;
   }
 
-  async #ask(identity: string): Promise<boolean> {
+  async #query(identity: string): Promise<boolean> {
     const { client, logger } = this.#options;
     try {
       const { dead } = await client.call(
         (connection, signal) => connection.groups.entryLife.query({ identity }, { signal }),
-        { deadlineMilliseconds: ASK_MILLISECONDS, attemptMilliseconds: ASK_MILLISECONDS },
+        {
+          deadlineMilliseconds: QUERY_TIMEOUT_MILLISECONDS,
+          attemptMilliseconds: QUERY_TIMEOUT_MILLISECONDS,
+        },
       );
       return dead;
     } catch (error) {
--- a/src/control/notifier.ts
+++ b/src/control/notifier.ts
@@ -1,6 +1,5 @@
 import type { Clock, Component } from '../core';
 
-/** Keys that calls wait for. */
 export const CHANGE_KEYS = {
   configuration: 'configuration',
   directory: 'directory',
@@ -8,8 +7,8 @@
   orders: (target: string) => `orders ${target}`,
 } as const;
 
-/** Lets calls wait until something with a key changes. */
-export class Notifier implements Component {
+/** Lets long-polling calls wait for a change of one of their keys. */
+export class ChangeNotifier implements Component {
   readonly #clock: Clock;
   readonly #waiting = new Map<string, Set<() => void>>();
 
@@ -17,24 +16,22 @@
     this.#clock = clock;
   }
 
-  /** Wakes everyone who waits for `key`. */
   notify(key: string): void {
     const waiting = this.#waiting.get(key);
     this.#waiting.delete(key);
     for (const wake of waiting ?? []) wake();
   }
 
-  /** Wakes everyone. */
   notifyAll(): void {
     for (const key of [...this.#waiting.keys()]) this.notify(key);
   }
 
-  /** Wakes everyone, so that calls held here find that this member no longer serves. */
+  /** Wakes all waiting calls, which then find that this member no longer leads. */
   stop(): void {
     this.notifyAll();
   }
 
-  /** Resolves at the next change of any of the keys, or after `milliseconds`. */
+  /** Resolves at the next change of any of `keys`, or after `milliseconds`. */
   wait(keys: readonly string[], milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = () => {
--- a/src/control/offered-orders.ts
+++ b/src/control/offered-orders.ts
@@ -2,14 +2,15 @@
 import type { Order } from '../state';
 
 /**
- * The orders that the leaders of the groups have offered to the leader of the configuration, which
- * alone gives orders to targets: a target then sees one rising fencing number. They are durable in
- * their groups, and offered again to a new leader.
+ * Unconfirmed orders that the leaders of the program groups have offered to the leader of the
+ * configuration group. Only that leader sends orders to targets, so that a target sees one
+ * increasing fencing token, the leader's term. Kept in memory: the orders are durable in their
+ * groups and are offered again to a new leader.
  */
-export class OfferedOrders {
+export class PendingOrders {
   #byGroup = new Map<string, readonly Order[]>();
 
-  /** Forgets everything: this member has just taken the lead. */
+  /** Called when this member becomes the leader. */
   reset(): void {
     this.#byGroup = new Map();
   }
@@ -18,25 +19,25 @@
     return [...this.#byGroup.values()].reduce((sum, orders) => sum + orders.length, 0);
   }
 
-  /** Takes all pending orders of a group; returns the targets that have new ones. */
-  take({ group, orders }: OrderOffer): readonly string[] {
-    const known = new Set(this.#byGroup.get(group)?.map((order) => order.id));
+  /** Replaces all pending orders of a group; returns the targets that have new ones. */
+  replaceGroup({ group, orders }: OrderOffer): readonly string[] {
+    const knownIds = new Set(this.#byGroup.get(group)?.map((order) => order.id));
     this.#byGroup.set(group, orders);
-    const fresh = orders.filter((order) => !known.has(order.id));
-    return [...new Set(fresh.map((order) => order.target))];
+    const added = orders.filter((order) => !knownIds.has(order.id));
+    return [...new Set(added.map((order) => order.target))];
   }
 
-  /** Drops orders that a target has carried out; returns them by group. */
-  settle(ids: readonly string[]): ReadonlyMap<string, readonly string[]> {
-    const settled = new Map<string, readonly string[]>();
+  /** Removes orders that a target has confirmed; returns their ids by group. */
+  removeConfirmed(ids: readonly string[]): ReadonlyMap<string, readonly string[]> {
+    const removed = new Map<string, readonly string[]>();
     for (const [group, orders] of this.#byGroup) {
-      const done = orders.filter((order) => ids.includes(order.id)).map((order) => order.id);
-      if (done.length === 0) continue;
-      settled.set(group, done);
-      const left = orders.filter((order) => !ids.includes(order.id));
-      this.#byGroup.set(group, left);
+      const confirmed = orders.filter((order) => ids.includes(order.id)).map((order) => order.id);
+      if (confirmed.length === 0) continue;
+      removed.set(group, confirmed);
+      const remaining = orders.filter((order) => !ids.includes(order.id));
+      this.#byGroup.set(group, remaining);
     }
-    return settled;
+    return removed;
   }
 
   forTarget(target: string | undefined): readonly Order[] {
--- a/src/control/order-relay.ts
+++ b/src/control/order-relay.ts
@@ -1,46 +1,48 @@
 import { type Clock, type Component, type Logger, PeriodicTask, messageOf } from '../core';
 import type { ControlClient } from '../protocol';
-import type { ProgramGroupMember } from './group';
+import type { ProgramGroupReplica } from './group';
 
-/** Longest wait for the leader of the configuration; milliseconds. */
-const OFFER_MILLISECONDS = 1000;
+/** Timeout of a call to the leader of the configuration group. */
+const OFFER_TIMEOUT_MILLISECONDS = 1000;
 
 export interface OrderRelayOptions {
-  readonly group: ProgramGroupMember;
+  readonly group: ProgramGroupReplica;
   readonly client: ControlClient;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Pause after which orders that are still pending are offered again. */
-  readonly repeatMilliseconds: number;
+  /** Interval at which orders that are still pending are offered again. */
+  readonly retryIntervalMilliseconds: number;
 }
 
 /**
- * Offers the pending orders of a group that this host leads to the leader of the configuration:
- * at once when there are new ones, and again while any are pending.
+ * Offers the pending orders of a group that this host leads to the leader of the configuration
+ * group: on request when there are new ones, and periodically while any are pending.
  */
 export class OrderRelay implements Component {
   readonly #options: OrderRelayOptions;
-  readonly #repeat: PeriodicTask;
+  readonly #retryTask: PeriodicTask;
   #offering: Promise<void> | undefined;
-  #again = false;
+  #offerRequested = false;
 
   constructor(options: OrderRelayOptions) {
     this.#options = options;
-    this.#repeat = new PeriodicTask(options.clock, options.repeatMilliseconds, () => this.offer());
+    this.#retryTask = new PeriodicTask(options.clock, options.retryIntervalMilliseconds, () =>
+      this.offer(),
+    );
   }
 
   start(): void {
-    this.#repeat.start();
+    this.#retryTask.start();
   }
 
   async stop(): Promise<void> {
-    this.#repeat.stop();
+    this.#retryTask.stop();
     await this.#offering;
   }
 
-  /** Offers what is pending, once more if this is asked for meanwhile. */
+  /** Offers all pending orders; calls made while an offer is in progress cause one more offer. */
   offer(): Promise<void> {
-    this.#again = true;
+    this.#offerRequested = true;
     this.#offering ??= this.#offerAll().finally(() => {
       this.#offering = undefined;
     });
@@ -48,8 +50,8 @@
   }
 
   async #offerAll(): Promise<void> {
-    while (this.#again) {
-      this.#again = false;
+    while (this.#offerRequested) {
+      this.#offerRequested = false;
       await this.#offerOnce();
     }
   }
@@ -62,7 +64,7 @@
       await client.call(
         (connection, signal) =>
           connection.groups.offerOrders.mutate({ group: group.name, orders }, { signal }),
-        { deadlineMilliseconds: OFFER_MILLISECONDS },
+        { deadlineMilliseconds: OFFER_TIMEOUT_MILLISECONDS },
       );
     } catch (error) {
       logger.debug({ event: 'orders-not-offered', group: group.name, error: messageOf(error) });
--- a/src/control/process.ts
+++ b/src/control/process.ts
@@ -11,12 +11,17 @@
   ProgramStateMachine,
 } from '../state';
 import type { ContentStore, RecordStore } from '../storage';
-import { announce } from './announce';
-import { type GroupParts, type ProgramGroupMember, createContents, createGroupLog } from './group';
+import { notifyChange } from './announce';
+import {
+  type GroupContext,
+  type ProgramGroupReplica,
+  createContentStore,
+  createGroupLog,
+} from './group';
 import { HostListReader } from './host-list';
 import { EntryLiveness } from './liveness';
-import { CHANGE_KEYS, Notifier } from './notifier';
-import { OfferedOrders } from './offered-orders';
+import { CHANGE_KEYS, ChangeNotifier } from './notifier';
+import { PendingOrders } from './offered-orders';
 import { OrderRelay } from './order-relay';
 import { ProgramService } from './program-service';
 import { NodeRegistry } from './registry';
@@ -30,47 +35,46 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
-  /** The store of a group; a file store under the data folder unless given. */
+  /** Log store of a group; by default a file store in the data folder. */
   readonly storeFor?: (group: string) => RecordStore;
-  /** Called when the process can't go on, after the reason was logged. */
+  /** Called after an unrecoverable storage failure has been logged. */
   readonly onFailure?: () => void;
 }
 
-/** Wires up one control host; the life cycle that is returned starts and stops it. */
+/** Creates a control host; the returned life cycle starts and stops it. */
 export function createControlProcess(options: ControlProcessOptions): LifeCycle {
   const host = new ControlHost(options);
   const lifeCycle = new LifeCycle();
-  host.addTo(lifeCycle);
+  host.addComponentsTo(lifeCycle);
   return lifeCycle;
 }
 
-/** A group of programs on this host, with what its leader does periodically. */
-interface ProgramGroupParts extends ProgramGroupMember {
+/** This host's replica of a program group, with the tasks that it runs while it leads the group. */
+interface HostedProgramGroup extends ProgramGroupReplica {
   readonly contents: ContentStore;
   readonly relay: OrderRelay;
 }
 
-/** The parts of one control host. */
 class ControlHost {
   readonly #options: ControlProcessOptions;
   readonly #metrics = new Metrics(new LatencyHistograms());
-  readonly #orders = new OfferedOrders();
-  readonly #notifier: Notifier;
+  readonly #orders = new PendingOrders();
+  readonly #notifier: ChangeNotifier;
   readonly #client: ControlClient;
   readonly #registry: NodeRegistry;
   readonly #transport: ControlTransport;
   readonly #ticker: SharedTicker;
-  readonly #groupParts: GroupParts;
+  readonly #groupContext: GroupContext;
   readonly #configuration: ConfigurationStateMachine;
   readonly #configurationLog: ReplicatedLog<AcceptOutcome>;
-  readonly #groups: readonly ProgramGroupParts[];
+  readonly #groups: readonly HostedProgramGroup[];
 
   constructor(options: ControlProcessOptions) {
     this.#options = options;
     const { settings, clock, logger } = options;
     const { host, cluster, control } = settings;
     const credential = cluster['process-credential'];
-    this.#notifier = new Notifier(clock);
+    this.#notifier = new ChangeNotifier(clock);
     this.#client = new ControlClient({ members: cluster.control, credential, clock });
     this.#registry = new NodeRegistry(control['session-milliseconds']);
     this.#ticker = new SharedTicker(clock, control['heartbeat-milliseconds'] / 2);
@@ -82,7 +86,7 @@
         this.#logOf(group)?.receive(envelopes);
       },
     });
-    this.#groupParts = {
+    this.#groupContext = {
       ...options,
       transport: this.#transport,
       ticker: this.#ticker,
@@ -97,8 +101,11 @@
       .map((group) => this.#createGroup(group.name, group.hosts));
   }
 
-  /** Adds the parts in the order they start; logs stop first, while messages still flow. */
-  addTo(lifeCycle: LifeCycle): void {
+  /**
+   * Adds the components in start order. They stop in reverse order: the logs stop while the
+   * transport and the listener still run.
+   */
+  addComponentsTo(lifeCycle: LifeCycle): void {
     const { host, cluster, control } = this.#options.settings;
     const listener = this.#createListener(host.address);
     lifeCycle.add('client', this.#client);
@@ -118,13 +125,13 @@
     lifeCycle.add(CONFIGURATION_GROUP, this.#configurationLog);
     lifeCycle.add('target-sweep', this.#createTargetSweep());
     for (const group of this.#groups) this.#addGroup(lifeCycle, group);
-    this.#addHostList(lifeCycle);
-    // Stops first, so that all groups are handed over at the same time.
-    lifeCycle.add('hand-over', { stop: () => this.#handOver() });
+    this.#addHostListReader(lifeCycle);
+    // Added last, so that it stops first: the leadership of all groups is transferred concurrently.
+    lifeCycle.add('leadership-transfer', { stop: () => this.#transferLeadership() });
     this.#registerGauges();
   }
 
-  #addGroup(lifeCycle: LifeCycle, group: ProgramGroupParts): void {
+  #addGroup(lifeCycle: LifeCycle, group: HostedProgramGroup): void {
     const { settings, clock, logger } = this.#options;
     lifeCycle.add(`${group.name} contents`, {
       start: () => group.contents.open(),
@@ -138,17 +145,20 @@
     );
   }
 
-  #addHostList(lifeCycle: LifeCycle): void {
+  #addHostListReader(lifeCycle: LifeCycle): void {
     const { settings, clock, logger } = this.#options;
     if (settings.platform === undefined) return;
     const reader = new HostListReader({
       address: settings.platform['host-list'],
-      milliseconds: settings.platform['host-list-milliseconds'],
+      intervalMilliseconds: settings.platform['host-list-milliseconds'],
       clock,
       logger,
-      reads: () => this.#configurationLog.serves,
-      onHosts: (leaving, live) => {
-        const changed = this.#registry.hint(this.#targetsOn(leaving), this.#targetsOn(live));
+      isEnabled: () => this.#configurationLog.serves,
+      onHosts: (draining, live) => {
+        const changed = this.#registry.applyHostList(
+          this.#targetsOn(draining),
+          this.#targetsOn(live),
+        );
         if (changed) this.#notifier.notify(CHANGE_KEYS.directory);
       },
     });
@@ -165,29 +175,29 @@
 
   #createConfigurationLog(): ReplicatedLog<AcceptOutcome> {
     const { settings, clock } = this.#options;
-    let leading = false;
-    return createGroupLog(this.#groupParts, {
+    let wasLeader = false;
+    return createGroupLog(this.#groupContext, {
       name: CONFIGURATION_GROUP,
       hosts: settings.cluster.control.map((member) => member.name),
       machine: this.#configuration,
       onChange: ({ role }) => {
-        if (role === 'leader' && !leading) {
+        if (role === 'leader' && !wasLeader) {
           this.#registry.reset(clock.monotonic());
           this.#orders.reset();
         }
-        leading = role === 'leader';
+        wasLeader = role === 'leader';
         this.#notifier.notifyAll();
       },
     });
   }
 
-  #createGroup(name: string, hosts: readonly string[]): ProgramGroupParts {
+  #createGroup(name: string, hosts: readonly string[]): HostedProgramGroup {
     const { settings, clock, logger } = this.#options;
-    const contents = createContents(this.#groupParts, name);
+    const contents = createContentStore(this.#groupContext, name);
     const machine = new ProgramStateMachine(contents, (command) => {
-      announce(this.#notifier, command, () => void relay.offer());
+      notifyChange(this.#notifier, command, () => void relay.offer());
     });
-    const log = createGroupLog(this.#groupParts, {
+    const log = createGroupLog(this.#groupContext, {
       name,
       hosts,
       machine,
@@ -200,7 +210,7 @@
       client: this.#client,
       clock,
       logger,
-      repeatMilliseconds: settings.control['sweep-milliseconds'],
+      retryIntervalMilliseconds: settings.control['sweep-milliseconds'],
     });
     return { name, log, machine, contents, relay };
   }
@@ -255,7 +265,7 @@
   #createTargetSweep() {
     const { settings, clock } = this.#options;
     return createTargetSweep({
-      milliseconds: settings.control['sweep-milliseconds'],
+      intervalMilliseconds: settings.control['sweep-milliseconds'],
       clock,
       log: this.#configurationLog,
       machine: this.#configuration,
@@ -264,7 +274,7 @@
     });
   }
 
-  async #handOver(): Promise<void> {
+  async #transferLeadership(): Promise<void> {
     const logs = [this.#configurationLog, ...this.#groups.map((group) => group.log)];
     await Promise.all(logs.map((log) => log.handOver()));
   }
@@ -280,12 +290,12 @@
 
   get #notReady(): string | undefined {
     const logs = [this.#configurationLog, ...this.#groups.map((group) => group.log)];
-    const known = logs.every((log) => log.leader !== undefined);
-    return known ? undefined : 'a group has no known leader';
+    const allLeadersKnown = logs.every((log) => log.leader !== undefined);
+    return allLeadersKnown ? undefined : 'a group has no known leader';
   }
 
   #registerGauges(): void {
-    const sum = (value: (group: ProgramGroupParts) => number) => () =>
+    const sum = (value: (group: HostedProgramGroup) => number) => () =>
       this.#groups.reduce((total, group) => total + value(group), 0);
     this.#metrics.gauge('configuration_term', () => this.#configurationLog.term);
     this.#metrics.gauge('configuration_number', () => this.#configuration.number);
--- a/src/control/program-service.ts
+++ b/src/control/program-service.ts
@@ -16,41 +16,41 @@
   type Created,
   type EndProgram,
   type Ended,
-  type KindInForce,
+  type ResolvedKind,
   type Refused,
   type ResolveStep,
-  contentsOf,
+  contentHandlesOf,
   evaluateBegin,
-  fillBegin,
-  fillComplete,
+  toBeginOutcome,
+  toCompleteOutcome,
   resolveKind,
   sequenceOf,
   viewProgram,
 } from '../state';
-import type { ProgramGroupMember } from './group';
+import type { ProgramGroupReplica } from './group';
 import type { EntryLiveness } from './liveness';
-import { CHANGE_KEYS, type Notifier } from './notifier';
-import { redirect } from './redirect';
+import { CHANGE_KEYS, type ChangeNotifier } from './notifier';
+import { notLeaderOutcome } from './redirect';
 import { describeGroup, describeTeams } from './status';
 
 export interface ProgramServiceOptions {
   /** Name of this host. */
   readonly self: string;
-  readonly group: ProgramGroupMember;
+  readonly group: ProgramGroupReplica;
   readonly configuration: ConfigurationStateMachine;
   readonly liveness: EntryLiveness;
-  readonly notifier: Notifier;
+  readonly notifier: ChangeNotifier;
   readonly clock: Clock;
   readonly metrics: Metrics;
 }
 
-/** How often a waiting step looks whether the entry that runs it has died; milliseconds. */
-const DEATH_CHECK_MILLISECONDS = 250;
+/** Interval at which a waiting step checks whether the entry that runs it is still alive. */
+const LIVENESS_CHECK_INTERVAL_MILLISECONDS = 250;
 
-/** Longest wait until this host has the configuration that an asker has; milliseconds. */
-const CONFIGURATION_MILLISECONDS = 1000;
+/** Timeout for this host to receive the configuration that the calling entry has. */
+const CONFIGURATION_TIMEOUT_MILLISECONDS = 1000;
 
-/** What a control host does for the programs of one group. Only the group's leader serves. */
+/** Operations on the programs of one group; other members than its leader return `not-leader`. */
 export class ProgramService {
   readonly #options: ProgramServiceOptions;
 
@@ -60,9 +60,9 @@
 
   async createProgram(input: CreateProgram): Promise<Created | Refused | NotLeader> {
     if (!this.#isServing()) return this.notLeader;
-    const kindInForce = await this.#kindOf(input);
+    const kindInForce = await this.#resolveKind(input);
     if (kindInForce.outcome !== 'kind') return kindInForce;
-    return this.#propose({ kind: 'create-program', at: this.#at, input, kindInForce });
+    return this.#propose({ kind: 'create-program', at: this.#now, input, kindInForce });
   }
 
   getProgram(id: string, team: string): FoundProgram | Refused | NotLeader {
@@ -76,7 +76,7 @@
   async endProgram(input: EndProgram, team: string): Promise<Ended | Refused | NotLeader> {
     const found = this.getProgram(input.program, team);
     if (found.outcome !== 'found') return found;
-    return this.#propose({ kind: 'end-program', at: this.#at, input });
+    return this.#propose({ kind: 'end-program', at: this.#now, input });
   }
 
   async beginStep(input: BeginStep, waitMilliseconds: number): Promise<BeginOutcome | NotLeader> {
@@ -87,29 +87,29 @@
       const remaining = deadline - clock.monotonic();
       if (decision.outcome === 'not-leader') return decision;
       if (decision.outcome !== 'wait' || remaining <= 0) {
-        return fillBegin(decision, await this.#textsOf(decision));
+        return toBeginOutcome(decision, await this.#textsOf(decision));
       }
-      const wait = Math.min(remaining, DEATH_CHECK_MILLISECONDS);
+      const wait = Math.min(remaining, LIVENESS_CHECK_INTERVAL_MILLISECONDS);
       await notifier.wait([CHANGE_KEYS.program(input.program)], wait);
     }
   }
 
   async completeStep(input: CompleteStep): Promise<CompleteOutcome | NotLeader> {
-    const decision = await this.#propose({ kind: 'complete-step', at: this.#at, input });
+    const decision = await this.#propose({ kind: 'complete-step', at: this.#now, input });
     if (decision.outcome === 'not-leader') return decision;
-    return fillComplete(decision, await this.#textsOf(decision));
+    return toCompleteOutcome(decision, await this.#textsOf(decision));
   }
 
   abandonStep(input: AbandonStep): Promise<Noted | NotLeader> {
-    return this.#note({ kind: 'abandon-step', at: this.#at, input });
+    return this.#proposeUpdate({ kind: 'abandon-step', at: this.#now, input });
   }
 
   resolveStep(input: ResolveStep): Promise<Noted | NotLeader> {
-    return this.#note({ kind: 'resolve-step', at: this.#at, input });
+    return this.#proposeUpdate({ kind: 'resolve-step', at: this.#now, input });
   }
 
   settleOrders(orders: readonly string[]): Promise<Noted | NotLeader> {
-    return this.#note({ kind: 'confirm-orders', at: this.#at, orders });
+    return this.#proposeUpdate({ kind: 'confirm-orders', at: this.#now, orders });
   }
 
   summary(): GroupSummary | NotLeader {
@@ -119,34 +119,38 @@
     return { outcome: 'summary', group: describeGroup(group.name, self, group.log), teams };
   }
 
-  /** Names the leader, if another host is known to be it. */
   get notLeader(): NotLeader {
     const { self, group } = this.#options;
-    return redirect(self, group.log);
+    return notLeaderOutcome(self, group.log);
   }
 
   #textsOf(decision: BeginDecision | CompleteDecision): Promise<readonly string[]> {
     const { contents } = this.#options.group;
-    return Promise.all(contentsOf(decision).map((handle) => contents.get(handle)));
+    return Promise.all(contentHandlesOf(decision).map((handle) => contents.get(handle)));
   }
 
   async #tryBegin(input: BeginStep): Promise<BeginDecision | NotLeader> {
     if (!this.#isServing()) return this.notLeader;
-    const displaces = await this.#deadAttempt(input);
+    const displacedAttempt = await this.#findDisplacedAttempt(input);
     if (!this.#isServing()) return this.notLeader;
-    const command = { kind: 'begin-step', at: this.#at, input, displaces } as const;
+    const command = {
+      kind: 'begin-step',
+      at: this.#now,
+      input,
+      displaces: displacedAttempt,
+    } as const;
     if (input.create === undefined) {
       const { tables } = this.#options.group.machine;
-      const outcome = evaluateBegin(tables, input, displaces);
+      const outcome = evaluateBegin(tables, input, displacedAttempt);
       return outcome.outcome === 'run' ? this.#propose(command) : outcome;
     }
-    const kindInForce = await this.#kindOf(input.create);
+    const kindInForce = await this.#resolveKind(input.create);
     if (kindInForce.outcome !== 'kind') return kindInForce;
     return this.#propose({ ...command, kindInForce });
   }
 
-  /** The running attempt of this step, if the entry that works on it is dead. */
-  async #deadAttempt(input: BeginStep): Promise<string | undefined> {
+  /** The running attempt of this step, if it is another one and its entry has ended. */
+  async #findDisplacedAttempt(input: BeginStep): Promise<string | undefined> {
     const { group, liveness } = this.#options;
     const program = group.machine.tables.programs.get(input.program);
     const step = program?.steps.get(sequenceOf(program, input));
@@ -154,10 +158,10 @@
     return (await liveness.isDead(step.entry)) ? step.attempt : undefined;
   }
 
-  /** The kind in force, once this host has the configuration that the asker has. */
-  async #kindOf(input: CreateProgram): Promise<KindInForce | Refused | NotLeader> {
+  /** Resolves the program kind once this host has the configuration that the calling entry has. */
+  async #resolveKind(input: CreateProgram): Promise<ResolvedKind | Refused | NotLeader> {
     const { configuration, clock, notifier } = this.#options;
-    const deadline = clock.monotonic() + CONFIGURATION_MILLISECONDS;
+    const deadline = clock.monotonic() + CONFIGURATION_TIMEOUT_MILLISECONDS;
     while (configuration.number < input.configurationNumber) {
       const remaining = deadline - clock.monotonic();
       if (remaining <= 0) return { outcome: 'not-leader' };
@@ -170,16 +174,16 @@
     return this.#options.group.log.serves;
   }
 
-  get #at(): number {
+  get #now(): number {
     return this.#options.clock.now();
   }
 
-  async #note(command: Command): Promise<Noted | NotLeader> {
+  async #proposeUpdate(command: Command): Promise<Noted | NotLeader> {
     const result = await this.#propose(command);
     return result.outcome === 'not-leader' ? result : { outcome: 'noted' };
   }
 
-  /** Commits a command; an uncertain one counts as not led, and the caller repeats it. */
+  /** Commits a command. If the commit is uncertain, returns `not-leader` and the caller retries. */
   async #propose<K extends Command['kind']>(
     command: Extract<Command, { kind: K }>,
   ): Promise<CommandResults[K] | NotLeader> {
@@ -197,7 +201,7 @@
   }
 }
 
-/** Refuses a program that does not exist, or that is another team's. */
+/** Also returned for a program of another team. */
 export function unknownProgram(id: string): Refused {
   return { outcome: 'refused', code: 'unknown-program', message: `no program "${id}"` };
 }
--- a/src/control/redirect.ts
+++ b/src/control/redirect.ts
@@ -1,8 +1,8 @@
 import type { NotLeader } from '../protocol';
 import { type LogView, nameOf } from '../replication';
 
-/** Answers for a group that this host does not lead, naming the leader if that is another host. */
-export function redirect(self: string, log: Pick<LogView, 'leader'>): NotLeader {
+/** Names the leader only if it is known and another host. */
+export function notLeaderOutcome(self: string, log: Pick<LogView, 'leader'>): NotLeader {
   const leader = log.leader === undefined ? undefined : nameOf(log.leader);
   return { outcome: 'not-leader', leader: leader === self ? undefined : leader };
 }
--- a/src/control/registry.ts
+++ b/src/control/registry.ts
@@ -3,7 +3,7 @@
 interface Session {
   readonly heartbeat: Heartbeat;
   /** Monotonic time in milliseconds. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 interface VersionedTarget {
@@ -14,18 +14,19 @@
 const NO_LOAD: Load = { running: 0, waiting: 0 };
 
 /**
- * The leader's view of entries and sidecars, from their heartbeats. It is kept in memory only: a
- * new leader hears from every live process within one heartbeat time, and counts a process it
- * has not heard from as live until a whole session time has passed since it took the lead.
+ * Sessions of entries and sidecars, built from their heartbeats on the leader of the configuration
+ * group. Kept in memory only: a new leader receives a heartbeat from every live process within one
+ * heartbeat interval. During a grace period of one session timeout after its election it treats
+ * processes without a session as live.
  */
 export class NodeRegistry {
   readonly #sessionMilliseconds: number;
   readonly #sessions = new Map<string, Session>();
   readonly #targets = new Map<string, VersionedTarget>();
-  /** Key of the session that last spoke for a target. */
-  readonly #speakers = new Map<string, string>();
-  /** Targets whose hosts the platform lists as leaving. */
-  readonly #leaving = new Set<string>();
+  /** Key of the session that last sent a heartbeat for a target. */
+  readonly #reporterKeys = new Map<string, string>();
+  /** Targets on hosts that the platform lists as leaving. */
+  readonly #drainingTargets = new Set<string>();
   #version = 0;
   #leaderSince = 0;
 
@@ -33,12 +34,12 @@
     this.#sessionMilliseconds = sessionMilliseconds;
   }
 
-  /** Forgets everything: this member has just taken the lead. */
+  /** Called when this member becomes the leader; `now` is monotonic time in milliseconds. */
   reset(now: number): void {
     this.#sessions.clear();
     this.#targets.clear();
-    this.#speakers.clear();
-    this.#leaving.clear();
+    this.#reporterKeys.clear();
+    this.#drainingTargets.clear();
     this.#version = 0;
     this.#leaderSince = now;
   }
@@ -47,49 +48,50 @@
     return this.#version;
   }
 
-  /** Notes a heartbeat; returns whether the directory of targets changed. */
-  hear(heartbeat: Heartbeat, now: number): boolean {
+  /** Returns whether the directory of targets changed. */
+  recordHeartbeat(heartbeat: Heartbeat, now: number): boolean {
     const key = keyOf(heartbeat.kind, heartbeat.name);
-    this.#sessions.set(key, { heartbeat, heardAt: now });
+    this.#sessions.set(key, { heartbeat, receivedAt: now });
     if (heartbeat.kind === 'entry' || heartbeat.target === undefined) return false;
-    this.#speakers.set(heartbeat.target, key);
+    this.#reporterKeys.set(heartbeat.target, key);
     return this.#putTarget({
       target: heartbeat.target,
-      state: this.#leaving.has(heartbeat.target) ? 'leaving' : heartbeat.state,
+      state: this.#drainingTargets.has(heartbeat.target) ? 'leaving' : heartbeat.state,
       incarnation: heartbeat.incarnation,
       load: heartbeat.load ?? NO_LOAD,
     });
   }
 
   /**
-   * Takes what the platform's list says: a target that leaves gets no new calls, also while its
-   * sidecar does not know yet, until the list shows it live again. Returns whether anything changed.
+   * Applies the platform's host list. A target on a leaving host is marked `leaving` even if its
+   * sidecar still reports `serving`, until the list shows the host as live again. Returns whether
+   * the directory of targets changed.
    */
-  hint(leaving: readonly string[], live: readonly string[]): boolean {
-    for (const target of live) this.#leaving.delete(target);
-    for (const target of leaving) this.#leaving.add(target);
-    const changed = [...leaving, ...live].map((target) => this.#applyHint(target));
+  applyHostList(draining: readonly string[], live: readonly string[]): boolean {
+    for (const target of live) this.#drainingTargets.delete(target);
+    for (const target of draining) this.#drainingTargets.add(target);
+    const changed = [...draining, ...live].map((target) => this.#refreshTargetState(target));
     return changed.includes(true);
   }
 
-  #applyHint(target: string): boolean {
+  #refreshTargetState(target: string): boolean {
     const record = this.#targets.get(target)?.record;
     if (record === undefined || record.state === 'lost') return false;
-    const told = this.#sessions.get(this.#speakers.get(target) ?? '')?.heartbeat.state;
-    const state = this.#leaving.has(target) ? 'leaving' : (told ?? record.state);
+    const reported = this.#sessions.get(this.#reporterKeys.get(target) ?? '')?.heartbeat.state;
+    const state = this.#drainingTargets.has(target) ? 'leaving' : (reported ?? record.state);
     return this.#putTarget({ ...record, state });
   }
 
-  /** Whether every live process has had the time to be heard since this member took the lead. */
+  /** Whether every live process has had time to send a heartbeat to this leader. */
   isComplete(now: number): boolean {
-    return this.#graceOver(now);
+    return this.#isGracePeriodOver(now);
   }
 
-  /** Marks targets whose sidecars fell silent; returns whether any did. */
-  expire(targets: readonly string[], now: number): boolean {
-    if (!this.#graceOver(now)) return false;
-    const silent = targets.filter((target) => !this.#targetHeard(target, now));
-    const changed = silent.map((target) => {
+  /** Marks those of `targets` without a live session as lost; returns whether any state changed. */
+  markLost(targets: readonly string[], now: number): boolean {
+    if (!this.#isGracePeriodOver(now)) return false;
+    const expired = targets.filter((target) => !this.#hasLiveSession(target, now));
+    const changed = expired.map((target) => {
       const known = this.#targets.get(target)?.record;
       const incarnation = known?.incarnation ?? '';
       return this.#putTarget({ target, state: 'lost', incarnation, load: NO_LOAD });
@@ -104,42 +106,45 @@
       .map((target) => target.record);
   }
 
-  /** Whether an entry process, as name/incarnation, has surely ended or lost its session. */
-  entryIsDead(identity: string, now: number): boolean {
+  /**
+   * Whether an entry process, as name/incarnation, was restarted or has no live session. False for
+   * an unknown process during the grace period.
+   */
+  isEntryDead(identity: string, now: number): boolean {
     const [name = '', incarnation = ''] = identity.split('/');
     const session = this.#sessions.get(keyOf('entry', name));
-    if (session === undefined) return this.#graceOver(now);
+    if (session === undefined) return this.#isGracePeriodOver(now);
     if (session.heartbeat.incarnation !== incarnation) return true;
-    return this.#silent(session, now);
+    return this.#isExpired(session, now);
   }
 
-  /** All known processes, for status. */
+  /** All known processes by name. */
   nodes(now: number): readonly NodeStatus[] {
     return [...this.#sessions.values()]
       .map((session) => {
         const { kind, name, state, configurationNumber, target, load } = session.heartbeat;
-        const shown = this.#silent(session, now) ? 'lost' : state;
+        const shown = this.#isExpired(session, now) ? 'lost' : state;
         return { kind, name, state: shown, configurationNumber, target, load } as const;
       })
       .sort((left, right) => (left.name < right.name ? -1 : 1));
   }
 
-  #targetHeard(target: string, now: number): boolean {
-    const session = this.#sessions.get(this.#speakers.get(target) ?? '');
-    return session !== undefined && !this.#silent(session, now);
+  #hasLiveSession(target: string, now: number): boolean {
+    const session = this.#sessions.get(this.#reporterKeys.get(target) ?? '');
+    return session !== undefined && !this.#isExpired(session, now);
   }
 
-  #silent(session: Session, now: number): boolean {
-    return now - session.heardAt > this.#sessionMilliseconds;
+  #isExpired(session: Session, now: number): boolean {
+    return now - session.receivedAt > this.#sessionMilliseconds;
   }
 
-  #graceOver(now: number): boolean {
+  #isGracePeriodOver(now: number): boolean {
     return now - this.#leaderSince > this.#sessionMilliseconds;
   }
 
   #putTarget(record: TargetRecord): boolean {
     const known = this.#targets.get(record.target)?.record;
-    if (known !== undefined && sameRecord(known, record)) return false;
+    if (known !== undefined && isEquivalent(known, record)) return false;
     this.#version += 1;
     this.#targets.set(record.target, { version: this.#version, record });
     return true;
@@ -150,16 +155,16 @@
   return `${kind} ${name}`;
 }
 
-/** Loads count as equal within a factor of two, so that small changes cost no messages. */
-function sameRecord(left: TargetRecord, right: TargetRecord): boolean {
+/** Compares loads by power of two, so that small changes are not published. */
+function isEquivalent(left: TargetRecord, right: TargetRecord): boolean {
   return (
     left.state === right.state &&
     left.incarnation === right.incarnation &&
-    magnitude(left.load.running) === magnitude(right.load.running) &&
-    magnitude(left.load.waiting) === magnitude(right.load.waiting)
+    loadMagnitude(left.load.running) === loadMagnitude(right.load.running) &&
+    loadMagnitude(left.load.waiting) === loadMagnitude(right.load.waiting)
   );
 }
 
-function magnitude(count: number): number {
+function loadMagnitude(count: number): number {
   return Math.ceil(Math.log2(count + 1));
 }
--- a/src/control/service.ts
+++ b/src/control/service.ts
@@ -35,43 +35,44 @@
   type ResolveStep,
   groupOfProgram,
 } from '../state';
-import { CHANGE_KEYS, type Notifier } from './notifier';
-import type { OfferedOrders } from './offered-orders';
+import { CHANGE_KEYS, type ChangeNotifier } from './notifier';
+import type { PendingOrders } from './offered-orders';
 import { type ProgramService, unknownProgram } from './program-service';
-import { redirect } from './redirect';
+import { notLeaderOutcome } from './redirect';
 import type { NodeRegistry } from './registry';
-import { gatherStatus } from './status';
+import { collectStatus } from './status';
 
 export interface ControlServiceOptions {
   readonly self: string;
-  /** The group of the configuration. */
+  /** Log of the configuration group. */
   readonly log: ReplicatedLog<AcceptOutcome>;
   readonly machine: ConfigurationStateMachine;
-  /** Groups of programs that this host is a member of, by name. */
+  /** Services of the program groups that this host is a member of, by group name. */
   readonly programs: ReadonlyMap<string, ProgramService>;
-  /** Names of the groups of all regions. */
+  /** Names of all program groups, including those that this host is no member of. */
   readonly groupNames: readonly string[];
-  /** Takes replication messages, and resolves with the answers. */
+  /** Delivers replication messages to a group's log, and resolves with the replies. */
   readonly exchange: (
     group: string,
     envelopes: readonly Envelope[],
   ) => Promise<readonly Envelope[]>;
   readonly client: ControlClient;
   readonly registry: NodeRegistry;
-  readonly orders: OfferedOrders;
-  readonly notifier: Notifier;
+  readonly orders: PendingOrders;
+  readonly notifier: ChangeNotifier;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
 const NOTED: Noted = { outcome: 'noted' };
 
-/** Longest wait for a group that is told which orders were carried out; milliseconds. */
-const SETTLE_MILLISECONDS = 2000;
+/** Timeout of a call that reports confirmed orders to their group. */
+const SETTLE_TIMEOUT_MILLISECONDS = 2000;
 
 /**
- * What a control host offers. Programs are served by the leaders of their groups; processes,
- * orders to targets and the configuration itself by the leader of the configuration.
+ * API of a control host. Calls that concern a program are served by the leader of its group; those
+ * that concern processes, orders to targets and the configuration by the leader of the
+ * configuration group. Other members return `not-leader`.
  */
 export class ControlService implements ControlApi {
   readonly #options: ControlServiceOptions;
@@ -81,40 +82,42 @@
   }
 
   async createProgram(input: CreateProgram): Promise<Created | Refused | NotLeader> {
-    return this.#inGroupOf(input.id, (service) => service.createProgram(input));
+    return this.#withServiceOf(input.id, (service) => service.createProgram(input));
   }
 
   async getProgram(id: string, team: string): Promise<FoundProgram | Refused | NotLeader> {
-    return this.#inGroupOf(id, (service) => service.getProgram(id, team));
+    return this.#withServiceOf(id, (service) => service.getProgram(id, team));
   }
 
   async endProgram(input: EndProgram, team: string): Promise<Ended | Refused | NotLeader> {
-    return this.#inGroupOf(input.program, (service) => service.endProgram(input, team));
+    return this.#withServiceOf(input.program, (service) => service.endProgram(input, team));
   }
 
   async beginStep(input: BeginStep, waitMilliseconds: number): Promise<BeginOutcome | NotLeader> {
-    return this.#inGroupOf(input.program, (service) => service.beginStep(input, waitMilliseconds));
+    return this.#withServiceOf(input.program, (service) =>
+      service.beginStep(input, waitMilliseconds),
+    );
   }
 
   async completeStep(input: CompleteStep): Promise<CompleteOutcome | NotLeader> {
     const service = this.#serviceOf(input.program);
-    return service?.completeStep(input) ?? UNKNOWN_LEADER;
+    return service?.completeStep(input) ?? NOT_A_MEMBER;
   }
 
   async abandonStep(input: AbandonStep): Promise<Noted | NotLeader> {
-    return this.#serviceOf(input.program)?.abandonStep(input) ?? UNKNOWN_LEADER;
+    return this.#serviceOf(input.program)?.abandonStep(input) ?? NOT_A_MEMBER;
   }
 
   async resolveStep(input: ResolveStep): Promise<Noted | NotLeader> {
-    return this.#serviceOf(input.program)?.resolveStep(input) ?? UNKNOWN_LEADER;
+    return this.#serviceOf(input.program)?.resolveStep(input) ?? NOT_A_MEMBER;
   }
 
   async settleOrders(group: string, orders: readonly string[]): Promise<Noted | NotLeader> {
-    return this.#options.programs.get(group)?.settleOrders(orders) ?? UNKNOWN_LEADER;
+    return this.#options.programs.get(group)?.settleOrders(orders) ?? NOT_A_MEMBER;
   }
 
   summary(group: string): GroupSummary | NotLeader {
-    return this.#options.programs.get(group)?.summary() ?? UNKNOWN_LEADER;
+    return this.#options.programs.get(group)?.summary() ?? NOT_A_MEMBER;
   }
 
   knownTerm(): KnownTerm {
@@ -124,14 +127,14 @@
   heartbeat(input: Heartbeat): Noted | NotLeader {
     if (!this.#serves) return this.#notLeader;
     const { registry, clock, notifier } = this.#options;
-    if (registry.hear(input, clock.monotonic())) notifier.notify(CHANGE_KEYS.directory);
+    if (registry.recordHeartbeat(input, clock.monotonic())) notifier.notify(CHANGE_KEYS.directory);
     return NOTED;
   }
 
   entryLife(identity: string): EntryLife | NotLeader {
     if (!this.#serves) return this.#notLeader;
     const { registry, clock } = this.#options;
-    return { outcome: 'entry-life', dead: registry.entryIsDead(identity, clock.monotonic()) };
+    return { outcome: 'entry-life', dead: registry.isEntryDead(identity, clock.monotonic()) };
   }
 
   async watch(input: Watch): Promise<WatchChanges | NotLeader> {
@@ -156,15 +159,15 @@
   #changesFor({ configurationNumber, directory, target }: Watch): WatchChanges {
     const { log, machine, registry, orders } = this.#options;
     const epoch = log.term;
-    const seen = directory?.epoch === epoch ? directory.version : 0;
+    const seenVersion = directory?.epoch === epoch ? directory.version : 0;
     const changed =
-      directory !== undefined && (directory.epoch !== epoch || registry.version > seen);
+      directory !== undefined && (directory.epoch !== epoch || registry.version > seenVersion);
     return {
       outcome: 'changes',
       term: epoch,
       configuration: machine.changesSince(configurationNumber),
       directory: changed
-        ? { epoch, version: registry.version, targets: registry.targetsSince(seen) }
+        ? { epoch, version: registry.version, targets: registry.targetsSince(seenVersion) }
         : undefined,
       orders: orders.forTarget(target),
     };
@@ -173,22 +176,22 @@
   offerOrders(offer: OrderOffer): Noted | NotLeader {
     if (!this.#serves) return this.#notLeader;
     const { orders, notifier } = this.#options;
-    for (const target of orders.take(offer)) notifier.notify(CHANGE_KEYS.orders(target));
+    for (const target of orders.replaceGroup(offer)) notifier.notify(CHANGE_KEYS.orders(target));
     return NOTED;
   }
 
   async confirmOrders(ids: readonly string[]): Promise<Noted | NotLeader> {
     if (!this.#serves) return this.#notLeader;
     const { orders, client } = this.#options;
-    const settled = [...orders.settle(ids)].map(([group, done]) =>
+    const calls = [...orders.removeConfirmed(ids)].map(([group, orderIds]) =>
       client.call(
         (connection, signal) =>
-          connection.groups.settleOrders.mutate({ group, orders: [...done] }, { signal }),
-        { group, deadlineMilliseconds: SETTLE_MILLISECONDS },
+          connection.groups.settleOrders.mutate({ group, orders: [...orderIds] }, { signal }),
+        { group, deadlineMilliseconds: SETTLE_TIMEOUT_MILLISECONDS },
       ),
     );
-    // A group that can't be told offers its orders again, and they are carried out once more.
-    await Promise.allSettled(settled);
+    // If a call fails, the group offers its orders again and the targets carry them out once more.
+    await Promise.allSettled(calls);
     return NOTED;
   }
 
@@ -216,7 +219,7 @@
 
   async status(): Promise<Status | NotLeader> {
     if (!this.#serves) return this.#notLeader;
-    return gatherStatus(this.#options);
+    return collectStatus(this.#options);
   }
 
   async deliver(batches: readonly GroupEnvelopes[]): Promise<Delivered> {
@@ -231,8 +234,8 @@
     return this.#options.programs.get(groupOfProgram(program) ?? '');
   }
 
-  /** Runs something at this host's part of a program's group; an id of no group is unknown. */
-  async #inGroupOf<T>(
+  /** Calls the service of a program's group; refuses an id that names no existing group. */
+  async #withServiceOf<T>(
     program: string,
     run: (service: ProgramService) => Promise<T> | T,
   ): Promise<T | Refused | NotLeader> {
@@ -241,7 +244,7 @@
       return unknownProgram(program);
     }
     const service = this.#options.programs.get(group);
-    return service === undefined ? UNKNOWN_LEADER : run(service);
+    return service === undefined ? NOT_A_MEMBER : run(service);
   }
 
   get #serves(): boolean {
@@ -250,9 +253,9 @@
 
   get #notLeader(): NotLeader {
     const { self, log } = this.#options;
-    return redirect(self, log);
+    return notLeaderOutcome(self, log);
   }
 }
 
-/** This host is no member of the group that is asked for. */
-const UNKNOWN_LEADER: NotLeader = { outcome: 'not-leader' };
+/** Returned for a group that this host is no member of, so that it knows no leader. */
+const NOT_A_MEMBER: NotLeader = { outcome: 'not-leader' };
--- a/src/control/status.ts
+++ b/src/control/status.ts
@@ -5,16 +5,15 @@
   type ConfigurationStateMachine,
   CONFIGURATION_GROUP,
   type Program,
-  type Tables,
+  type ProgramTables,
 } from '../state';
-import type { OfferedOrders } from './offered-orders';
+import type { PendingOrders } from './offered-orders';
 import type { NodeRegistry } from './registry';
 
-/** Share of a budget from which a program counts as near its end. */
+/** Share of a budget, spent or reserved, from which a program counts as near its limit. */
 const NEAR_BUDGET_SHARE = 0.9;
 
-/** Longest wait for a group's leader; milliseconds. */
-const SUMMARY_MILLISECONDS = 1000;
+const SUMMARY_TIMEOUT_MILLISECONDS = 1000;
 
 export interface StatusSources {
   readonly self: string;
@@ -23,16 +22,16 @@
   readonly groupNames: readonly string[];
   readonly client: ControlClient;
   readonly registry: NodeRegistry;
-  readonly orders: OfferedOrders;
+  readonly orders: PendingOrders;
   readonly clock: Clock;
 }
 
-/** Gathers what `martenbay status` shows, asking the leaders of all groups. */
-export async function gatherStatus(sources: StatusSources): Promise<Status> {
+/** Collects the output of `martenbay status` from the leaders of all groups. */
+export async function collectStatus(sources: StatusSources): Promise<Status> {
   const { self, log, machine, groupNames, client, registry, orders, clock } = sources;
-  const summaries = await Promise.all(groupNames.map((group) => askSummary(client, group)));
+  const summaries = await Promise.all(groupNames.map((group) => querySummary(client, group)));
   const groups = summaries.map((summary, index) =>
-    summary === undefined ? silentGroup(groupNames[index] ?? '') : summary.group,
+    summary === undefined ? unreachableGroup(groupNames[index] ?? '') : summary.group,
   );
   const nodes = registry.nodes(clock.monotonic());
   const lagging = nodes
@@ -47,12 +46,12 @@
     nodes,
     nodesComplete: registry.isComplete(clock.monotonic()),
     lagging,
-    teams: addTeams(names, summaries),
+    teams: sumTeams(names, summaries),
     pendingOrders: orders.count,
   };
 }
 
-/** What the leader of a group knows of the group. */
+/** Called on the leader of the group only. */
 export function describeGroup(group: string, self: string, log: LogView): GroupStatus {
   const { voters, learners } = log.membership;
   return {
@@ -66,8 +65,8 @@
   };
 }
 
-/** Counts the programs of one group by team. */
-export function describeTeams(tables: Tables): readonly TeamStatus[] {
+/** Program counts of one group by team. */
+export function describeTeams(tables: ProgramTables): readonly TeamStatus[] {
   const teams = new Map<string, TeamStatus>();
   for (const program of tables.programs.values()) {
     const known = teams.get(program.team) ?? emptyTeam(program.team);
@@ -82,8 +81,11 @@
   return [...teams.values()];
 }
 
-async function askSummary(client: ControlClient, group: string): Promise<GroupSummary | undefined> {
-  const limits = { group, deadlineMilliseconds: SUMMARY_MILLISECONDS };
+async function querySummary(
+  client: ControlClient,
+  group: string,
+): Promise<GroupSummary | undefined> {
+  const limits = { group, deadlineMilliseconds: SUMMARY_TIMEOUT_MILLISECONDS };
   try {
     return await client.call<GroupSummary>(
       (connection, signal) => connection.groups.summary.query({ group }, { signal }),
@@ -94,13 +96,13 @@
   }
 }
 
-/** A group for which nobody answers. */
-function silentGroup(group: string): GroupStatus {
+/** Status of a group whose leader did not answer. */
+function unreachableGroup(group: string): GroupStatus {
   const none = { voters: [], learners: [], silent: [] };
   return { group, leader: undefined, term: 0, appliedIndex: 0, ...none };
 }
 
-function addTeams(
+function sumTeams(
   names: readonly string[],
   summaries: readonly (GroupSummary | undefined)[],
 ): readonly TeamStatus[] {
@@ -123,7 +125,7 @@
   return { team, livePrograms: 0, endedPrograms: 0, nearBudget: 0 };
 }
 
-function isNearBudget(program: Program, tables: Tables): boolean {
+function isNearBudget(program: Program, tables: ProgramTables): boolean {
   const spending = tables.spendingOf(program);
   const tokens = spending.spentTokens + spending.reservedTokens;
   const calls = spending.spentCalls + spending.reservedCalls;
--- a/src/control/sweep.ts
+++ b/src/control/sweep.ts
@@ -1,43 +1,49 @@
-import type { Command, EndProgram, Tables } from '../state';
+import type { Command, EndProgram, ProgramTables } from '../state';
 
 /**
- * Lists the programs that are to end now: those past their deadline, and those that were silent
- * for their idle time with no step under way. `now` is wall time in milliseconds.
+ * Finds live programs that are past their deadline, or past their idle timeout with neither a
+ * running step nor a live child. `now` is wall time in milliseconds.
  */
-export function findExpired(tables: Tables, now: number): readonly EndProgram[] {
+export function findExpired(tables: ProgramTables, now: number): readonly EndProgram[] {
   return [...tables.programs.values()].flatMap((program): readonly EndProgram[] => {
     if (program.endReason !== undefined) return [];
     if (now >= program.deadlineAt) return [{ program: program.id, reason: 'deadline' }];
     const running = [...program.steps.values()].some((step) => step.state === 'running');
-    const waitsForChild = (tables.children.get(program.id)?.size ?? 0) > 0;
-    const silent = now - program.lastActivityAt >= program.idleMilliseconds;
-    return silent && !running && !waitsForChild ? [{ program: program.id, reason: 'idle' }] : [];
+    const hasLiveChild = (tables.children.get(program.id)?.size ?? 0) > 0;
+    const idle = now - program.lastActivityAt >= program.idleMilliseconds;
+    return idle && !running && !hasLiveChild ? [{ program: program.id, reason: 'idle' }] : [];
   });
 }
 
-/** Programs dropped by one command, at most. */
-const FORGET_BATCH = 256;
+/** Maximum number of programs that one command purges. */
+const PURGE_BATCH_SIZE = 256;
 
-/** Lists ended programs whose answers no resend can ask for any more. */
-export function findForgettable(
-  tables: Tables,
+/**
+ * Finds programs that ended more than `retentionMilliseconds` ago, so that their answers are no
+ * longer replayed to repeated requests; at most {@link PURGE_BATCH_SIZE}.
+ */
+export function findPurgeable(
+  tables: ProgramTables,
   now: number,
   retentionMilliseconds: number,
 ): readonly string[] {
-  const forgettable: string[] = [];
+  const purgeable: string[] = [];
   for (const program of tables.programs.values()) {
     const age = now - (program.endedAt ?? now);
     if (program.endReason !== undefined && age > retentionMilliseconds) {
-      forgettable.push(program.id);
+      purgeable.push(program.id);
     }
-    if (forgettable.length === FORGET_BATCH) break;
+    if (purgeable.length === PURGE_BATCH_SIZE) break;
   }
-  return forgettable;
+  return purgeable;
 }
 
-/** Commands that end what has expired and drop what ended long ago; times in milliseconds. */
+/**
+ * Commands that end expired programs, and purge ended ones after the retention period. `now` is
+ * wall time in milliseconds.
+ */
 export function sweepCommands(
-  tables: Tables,
+  tables: ProgramTables,
   now: number,
   retentionMilliseconds: number,
 ): readonly Command[] {
@@ -46,7 +52,7 @@
     at: now,
     input,
   }));
-  const programs = findForgettable(tables, now, retentionMilliseconds);
+  const programs = findPurgeable(tables, now, retentionMilliseconds);
   if (programs.length === 0) return ends;
   return [...ends, { kind: 'forget-programs', at: now, programs }];
 }
--- a/src/control/sweeper.ts
+++ b/src/control/sweeper.ts
@@ -2,8 +2,8 @@
 import type { LogView } from '../replication';
 import type { ControlSettings } from '../settings';
 import type { ConfigurationStateMachine } from '../state';
-import type { ProgramGroupMember } from './group';
-import { CHANGE_KEYS, type Notifier } from './notifier';
+import type { ProgramGroupReplica } from './group';
+import { CHANGE_KEYS, type ChangeNotifier } from './notifier';
 import type { NodeRegistry } from './registry';
 import { sweepCommands } from './sweep';
 
@@ -11,10 +11,10 @@
   readonly settings: ControlSettings['control'];
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly group: ProgramGroupMember;
+  readonly group: ProgramGroupReplica;
 }
 
-/** Ends and forgets the programs of a group that this host leads. */
+/** Ends expired programs and purges ended ones; does nothing unless this host leads the group. */
 export function createProgramSweep(options: ProgramSweepOptions): Component {
   const { clock, settings } = options;
   return new PeriodicTask(clock, settings['sweep-milliseconds'], () => sweepPrograms(options));
@@ -32,21 +32,21 @@
 }
 
 export interface TargetSweepOptions {
-  readonly milliseconds: number;
+  readonly intervalMilliseconds: number;
   readonly clock: Clock;
   readonly log: LogView;
   readonly machine: ConfigurationStateMachine;
   readonly registry: NodeRegistry;
-  readonly notifier: Notifier;
+  readonly notifier: ChangeNotifier;
 }
 
-/** Notices targets whose sidecars fell silent, at the leader of the configuration. */
+/** Marks targets without a live sidecar session as lost, on the configuration group's leader. */
 export function createTargetSweep(options: TargetSweepOptions): Component {
-  const { milliseconds, clock, log, machine, registry, notifier } = options;
-  return new PeriodicTask(clock, milliseconds, () => {
+  const { intervalMilliseconds, clock, log, machine, registry, notifier } = options;
+  return new PeriodicTask(clock, intervalMilliseconds, () => {
     if (!log.serves) return;
     const pools = machine.accepted?.configuration.pools ?? [];
     const targets = pools.flatMap((pool) => pool.targets.map((target) => target.name));
-    if (registry.expire(targets, clock.monotonic())) notifier.notify(CHANGE_KEYS.directory);
+    if (registry.markLost(targets, clock.monotonic())) notifier.notify(CHANGE_KEYS.directory);
   });
 }
--- a/src/control/tests/registry.test.ts
+++ b/src/control/tests/registry.test.ts
@@ -1,7 +1,7 @@
 import type { Heartbeat } from '../../protocol';
 import { NodeRegistry } from '../registry';
 
-const SESSION = 3000;
+const SESSION_MILLISECONDS = 3000;
 const LOAD = { running: 0, waiting: 0 };
 
 function sidecar(extra: Partial<Heartbeat> = {}): Heartbeat {
@@ -14,82 +14,86 @@
   return { ...base, configurationNumber: 1, ...extra };
 }
 
-describe('the registry of processes', () => {
+describe('NodeRegistry', () => {
   let registry: NodeRegistry;
 
   beforeEach(() => {
-    registry = new NodeRegistry(SESSION);
+    registry = new NodeRegistry(SESSION_MILLISECONDS);
     registry.reset(0);
   });
 
-  describe('of targets', () => {
-    it('tells only what changed since a version', () => {
-      registry.hear(sidecar(), 10);
-      registry.hear(sidecar({ name: 'sidecar-b', target: 'engine-b' }), 10);
+  describe('targets', () => {
+    it('returns only the targets whose records changed since a version', () => {
+      registry.recordHeartbeat(sidecar(), 10);
+      registry.recordHeartbeat(sidecar({ name: 'sidecar-b', target: 'engine-b' }), 10);
       const { version } = registry;
-      registry.hear(sidecar(), 20);
+      registry.recordHeartbeat(sidecar(), 20);
       expect(registry.targetsSince(version)).toEqual([]);
-      registry.hear(sidecar({ state: 'leaving' }), 30);
+      registry.recordHeartbeat(sidecar({ state: 'leaving' }), 30);
       expect(registry.targetsSince(version)).toMatchObject([
         { target: 'engine-a', state: 'leaving' },
       ]);
     });
 
-    it('passes small changes of load over', () => {
-      registry.hear(sidecar({ load: { running: 5, waiting: 0 } }), 10);
-      expect(registry.hear(sidecar({ load: { running: 7, waiting: 0 } }), 20)).toBe(false);
-      expect(registry.hear(sidecar({ load: { running: 8, waiting: 0 } }), 30)).toBe(true);
+    it('does not publish load changes within a power of two', () => {
+      registry.recordHeartbeat(sidecar({ load: { running: 5, waiting: 0 } }), 10);
+      expect(registry.recordHeartbeat(sidecar({ load: { running: 7, waiting: 0 } }), 20)).toBe(
+        false,
+      );
+      expect(registry.recordHeartbeat(sidecar({ load: { running: 8, waiting: 0 } }), 30)).toBe(
+        true,
+      );
     });
 
-    it('counts a silent one as lost, but not before a new leader could have heard it', () => {
-      expect(registry.expire(['engine-a'], SESSION)).toBe(false);
-      registry.hear(sidecar(), SESSION);
-      expect(registry.expire(['engine-a'], SESSION * 2)).toBe(false);
-      expect(registry.expire(['engine-a'], SESSION * 2 + 1)).toBe(true);
+    it('marks a target without heartbeats as lost, but only after the grace period', () => {
+      expect(registry.markLost(['engine-a'], SESSION_MILLISECONDS)).toBe(false);
+      registry.recordHeartbeat(sidecar(), SESSION_MILLISECONDS);
+      expect(registry.markLost(['engine-a'], SESSION_MILLISECONDS * 2)).toBe(false);
+      expect(registry.markLost(['engine-a'], SESSION_MILLISECONDS * 2 + 1)).toBe(true);
       expect(registry.targetsSince(0)).toMatchObject([{ target: 'engine-a', state: 'lost' }]);
-      expect(registry.expire(['engine-a'], SESSION * 3)).toBe(false);
+      expect(registry.markLost(['engine-a'], SESSION_MILLISECONDS * 3)).toBe(false);
     });
   });
 
-  describe('of entries', () => {
-    it('counts one as dead after a session time of silence, or when it has restarted', () => {
-      registry.hear(entry(), 10);
-      expect(registry.entryIsDead('entry-1/x', SESSION)).toBe(false);
-      expect(registry.entryIsDead('entry-1/x', SESSION + 11)).toBe(true);
-      registry.hear(entry({ incarnation: 'y' }), 20);
-      expect(registry.entryIsDead('entry-1/x', 20)).toBe(true);
-      expect(registry.entryIsDead('entry-1/y', 20)).toBe(false);
+  describe('entries', () => {
+    it('are dead after a session timeout without heartbeats, or after a restart', () => {
+      registry.recordHeartbeat(entry(), 10);
+      expect(registry.isEntryDead('entry-1/x', SESSION_MILLISECONDS)).toBe(false);
+      expect(registry.isEntryDead('entry-1/x', SESSION_MILLISECONDS + 11)).toBe(true);
+      registry.recordHeartbeat(entry({ incarnation: 'y' }), 20);
+      expect(registry.isEntryDead('entry-1/x', 20)).toBe(true);
+      expect(registry.isEntryDead('entry-1/y', 20)).toBe(false);
     });
 
-    it('counts one as live that a new leader has not heard yet', () => {
-      expect(registry.entryIsDead('entry-9/z', SESSION)).toBe(false);
-      expect(registry.entryIsDead('entry-9/z', SESSION + 1)).toBe(true);
+    it('without a session are live during the grace period of a new leader', () => {
+      expect(registry.isEntryDead('entry-9/z', SESSION_MILLISECONDS)).toBe(false);
+      expect(registry.isEntryDead('entry-9/z', SESSION_MILLISECONDS + 1)).toBe(true);
     });
   });
 
-  describe("with hints from the platform's list", () => {
+  describe("the platform's host list", () => {
     function stateOf(target: string) {
       return registry.targetsSince(0).find((record) => record.target === target)?.state;
     }
 
-    it('takes a target out while its sidecar still serves, and back once it is live again', () => {
-      registry.hear(sidecar(), 10);
-      expect(registry.hint(['engine-a'], [])).toBe(true);
+    it('marks a target leaving despite its sidecar, until its host is live again', () => {
+      registry.recordHeartbeat(sidecar(), 10);
+      expect(registry.applyHostList(['engine-a'], [])).toBe(true);
       expect(stateOf('engine-a')).toBe('leaving');
-      registry.hear(sidecar(), 20);
-      expect(registry.hint(['engine-a'], [])).toBe(false);
+      registry.recordHeartbeat(sidecar(), 20);
+      expect(registry.applyHostList(['engine-a'], [])).toBe(false);
       expect(stateOf('engine-a')).toBe('leaving');
-      expect(registry.hint([], ['engine-a'])).toBe(true);
+      expect(registry.applyHostList([], ['engine-a'])).toBe(true);
       expect(stateOf('engine-a')).toBe('serving');
     });
 
-    it('keeps a target out that vanishes from the list, and proves no life by it', () => {
-      registry.hear(sidecar(), 10);
-      registry.hint(['engine-a'], []);
-      expect(registry.hint([], [])).toBe(false);
+    it('keeps a target leaving when its host vanishes, and does not revive a lost target', () => {
+      registry.recordHeartbeat(sidecar(), 10);
+      registry.applyHostList(['engine-a'], []);
+      expect(registry.applyHostList([], [])).toBe(false);
       expect(stateOf('engine-a')).toBe('leaving');
-      registry.expire(['engine-a'], SESSION * 3);
-      expect(registry.hint([], ['engine-a'])).toBe(false);
+      registry.markLost(['engine-a'], SESSION_MILLISECONDS * 3);
+      expect(registry.applyHostList([], ['engine-a'])).toBe(false);
       expect(stateOf('engine-a')).toBe('lost');
     });
   });
--- a/src/control/ticker.ts
+++ b/src/control/ticker.ts
@@ -1,8 +1,8 @@
 import { type CancelTimer, type Clock, type Component, repeat } from '../core';
 
 /**
- * Calls everyone in turn at the same moments, so that what the groups of a host send to another
- * host at one of them travels as one message.
+ * One timer for the logs of all groups of a host, so that messages that they send to the same peer
+ * in one tick are batched.
  */
 export class SharedTicker implements Component {
   readonly #clock: Clock;
@@ -25,7 +25,7 @@
     this.#cancel();
   }
 
-  /** Calls `action` at every tick until cancelled. */
+  /** Runs `action` at every tick until cancelled. */
   every(action: () => void): CancelTimer {
     this.#actions.add(action);
     return () => {
--- a/src/control/transport.ts
+++ b/src/control/transport.ts
@@ -2,47 +2,46 @@
 import type { ControlClient, GroupEnvelopes } from '../protocol';
 import { type Envelope, type ReplicationTransport, hostOf } from '../replication';
 
-/** Longest wait for a peer's answers; milliseconds. */
-const DELIVERY_MILLISECONDS = 1000;
+/** Timeout of one delivery, including the peer's replies. */
+const DELIVERY_TIMEOUT_MILLISECONDS = 1000;
 
-/** Messages kept for a peer that is slow; older ones are dropped, since newer ones replace them. */
+/** Maximum queue length; older messages are dropped, since newer ones supersede them. */
 const QUEUE_LIMIT = 64;
 
 export interface ControlTransportOptions {
   readonly client: ControlClient;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Takes a peer's answers. */
+  /** Called with a peer's replies. */
   readonly receive: (batch: GroupEnvelopes) => void;
 }
 
-interface Queued {
+interface QueuedEnvelope {
   readonly group: string;
   readonly envelope: Envelope;
 }
 
-/** Messages to one peer that travel one call after the other. */
-interface Lane {
+/** Messages to one peer, sent in batches with at most one call in flight. */
+interface SendQueue {
   readonly peer: string;
-  queue: Queued[];
+  envelopes: QueuedEnvelope[];
   sending: boolean;
 }
 
 /**
- * Carries replication messages over tRPC. What needs no sync at the peer, so heartbeats above all,
- * travels together for all groups; each group's entries travel by themselves, so that one slow
- * group holds up no other. The peer's answers come back with the call.
+ * Sends replication messages over tRPC. Messages that need no disk sync at the peer, such as
+ * heartbeats, share one queue per peer; messages that do have a queue per peer and group, so that a
+ * slow group does not delay the others. The peer's replies are returned by the call.
  */
 export class ControlTransport {
   readonly #options: ControlTransportOptions;
-  readonly #lanes = new Map<string, Lane>();
+  readonly #queues = new Map<string, SendQueue>();
   #stopped = false;
 
   constructor(options: ControlTransportOptions) {
     this.#options = options;
   }
 
-  /** The transport of one group. */
   forGroup(group: string): ReplicationTransport {
     return {
       send: (envelope) => {
@@ -55,30 +54,30 @@
     this.#stopped = true;
   }
 
-  #send(queued: Queued): void {
+  #send(queued: QueuedEnvelope): void {
     const peer = hostOf(queued.envelope);
-    const key = needsNoSync(queued.envelope) ? peer : `${peer} ${queued.group}`;
-    const lane = this.#lanes.get(key) ?? { peer, queue: [], sending: false };
-    this.#lanes.set(key, lane);
-    lane.queue.push(queued);
-    if (lane.queue.length > QUEUE_LIMIT) lane.queue.shift();
-    if (lane.sending) return;
-    lane.sending = true;
-    queueMicrotask(() => void this.#drain(lane));
+    const key = requiresNoSync(queued.envelope) ? peer : `${peer} ${queued.group}`;
+    const queue = this.#queues.get(key) ?? { peer, envelopes: [], sending: false };
+    this.#queues.set(key, queue);
+    queue.envelopes.push(queued);
+    if (queue.envelopes.length > QUEUE_LIMIT) queue.envelopes.shift();
+    if (queue.sending) return;
+    queue.sending = true;
+    queueMicrotask(() => void this.#sendAll(queue));
   }
 
-  async #drain(lane: Lane): Promise<void> {
-    while (lane.queue.length > 0 && !this.#stopped) {
-      const queued = lane.queue;
-      lane.queue = [];
-      await this.#deliver(lane.peer, byGroup(queued));
+  async #sendAll(queue: SendQueue): Promise<void> {
+    while (queue.envelopes.length > 0 && !this.#stopped) {
+      const envelopes = queue.envelopes;
+      queue.envelopes = [];
+      await this.#deliver(queue.peer, groupEnvelopes(envelopes));
     }
-    lane.sending = false;
+    queue.sending = false;
   }
 
   async #deliver(peer: string, batches: GroupEnvelopes[]): Promise<void> {
     const { client, clock, logger, receive } = this.#options;
-    const { controller, cancel } = startTimeout(clock, DELIVERY_MILLISECONDS);
+    const { controller, cancel } = startTimeout(clock, DELIVERY_TIMEOUT_MILLISECONDS);
     try {
       const connection = client.member(peer);
       if (connection === undefined) return;
@@ -93,12 +92,12 @@
   }
 }
 
-function needsNoSync({ message }: Envelope): boolean {
+function requiresNoSync({ message }: Envelope): boolean {
   if (message.kind === 'append') return message.entries.length === 0;
   return message.kind === 'hello' || message.kind === 'append-answer';
 }
 
-function byGroup(queued: readonly Queued[]): GroupEnvelopes[] {
+function groupEnvelopes(queued: readonly QueuedEnvelope[]): GroupEnvelopes[] {
   const groups = new Map<string, Envelope[]>();
   for (const { group, envelope } of queued) {
     groups.set(group, [...(groups.get(group) ?? []), envelope]);
--- a/src/state/budgets.ts
+++ b/src/state/budgets.ts
@@ -1,8 +1,7 @@
-import type { KindInForce } from './commands';
+import type { ResolvedKind } from './commands';
 import type { Spending } from './records';
 
-/** Spending of a program that has used nothing. */
-export function openSpending(kind: KindInForce): Spending {
+export function createSpending(kind: ResolvedKind): Spending {
   return {
     tokenLimit: kind.tokenLimit,
     callLimit: kind.callLimit,
@@ -13,7 +12,7 @@
   };
 }
 
-/** Sets tokens and one call aside; nothing when that would pass a limit. */
+/** Reserves tokens and one call; undefined if that would exceed a limit. */
 export function reserve(spending: Spending, tokens: number): Spending | undefined {
   const tokenTotal = spending.spentTokens + spending.reservedTokens + tokens;
   const callTotal = spending.spentCalls + spending.reservedCalls + 1;
@@ -25,7 +24,7 @@
   };
 }
 
-/** Turns one reservation into what was really used. */
+/** Replaces the reservation of one call by its actual use. */
 export function settle(spending: Spending, reserved: number, used: number, calls: 0 | 1): Spending {
   return {
     ...spending,
--- a/src/state/commands.ts
+++ b/src/state/commands.ts
@@ -7,16 +7,16 @@
 
 export const createProgramSchema = z.object({
   id,
-  /** Absent for the team's default kind. */
+  /** If absent, the team's default kind is used. */
   kind: z.string().optional(),
   team: z.string(),
   parent: id.optional(),
-  /** Number of the configuration that the asker has in force; the leader waits until it has it. */
+  /** Number of the calling entry's configuration; the leader waits until its own is not older. */
   configurationNumber: z.int().nonnegative(),
 });
 
-/** A kind of program as it was in force when a program of it was started. */
-export const kindInForceSchema = z.object({
+/** Settings of a program kind, copied from the configuration when a program is created. */
+export const resolvedKindSchema = z.object({
   outcome: z.literal('kind'),
   name: z.string(),
   services: z.array(z.string()).readonly(),
@@ -30,24 +30,24 @@
 export const beginStepSchema = z.object({
   program: id,
   team: z.string(),
-  /** Absent: the next one in the program's order. */
+  /** If absent, the next sequence of the program. */
   sequence: z.int().positive().optional(),
-  /** The caller's idempotency key, which stands for a sequence that it does not number. */
+  /** The caller's idempotency key, for requests without a sequence. */
   key: z.string().max(255).optional(),
   attempt: id,
   entry: id,
   service: z.string(),
   requestDigest: z.string(),
-  /** Creates the program first, for a call that names none. */
+  /** Creates the program first, for a call that names no program. */
   create: createProgramSchema.optional(),
   history: z.discriminatedUnion('kind', [
     z.object({ kind: z.literal('none') }),
     z.object({ kind: z.literal('append') }),
-    /** Digests of all prefixes of the message list that the caller sent. */
+    /** Digest of each prefix of the message list that the caller sent, shortest first. */
     z.object({ kind: z.literal('whole'), digests: z.array(z.string()).readonly() }),
   ]),
   claim: claimSchema.optional(),
-  /** Tokens of the messages and the output limit, at most. */
+  /** Upper bounds: tokens of the new messages, and of the output. */
   newTokens: z.int().nonnegative(),
   outputTokens: z.int().nonnegative(),
 });
@@ -57,11 +57,11 @@
   sequence: z.int().positive(),
   attempt: id,
   answer: answerSchema,
-  /** Messages that the turn adds to the history, the answer last. */
+  /** Messages that the turn adds to the history, with the answer last. */
   messages: z.array(messageSchema).readonly(),
   usage: usageSchema.optional(),
   target: z.string(),
-  /** Ends the program with this step. */
+  /** Whether the program ends with this step. */
   end: z.boolean(),
 });
 
@@ -69,9 +69,9 @@
   program: id,
   sequence: z.int().positive(),
   attempt: id,
-  /** Whether an engine may have worked on it, so that its tokens count as spent. */
+  /** Whether an engine may have processed it, so that its reserved tokens count as spent. */
   spent: z.boolean(),
-  /** Targets that may hold cache of it. */
+  /** Targets that may have cached its prompt. */
   holders: z.array(z.string()).readonly(),
 });
 
@@ -97,34 +97,34 @@
   files: z.array(sourceFileSchema).readonly(),
 });
 
-/** Everything that changes the programs of a group. `at` is the leader's wall time. */
+/** Log entries of a program group. `at` is the leader's wall time in milliseconds. */
 export const commandSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('create-program'),
     at,
     input: createProgramSchema,
-    kindInForce: kindInForceSchema,
+    kindInForce: resolvedKindSchema,
   }),
   z.object({
     kind: z.literal('begin-step'),
     at,
     input: beginStepSchema,
-    /** Attempt that the leader found dead, whose place this one takes. */
+    /** Running attempt whose entry has ended, which this attempt supersedes. */
     displaces: id.optional(),
-    /** For the program that it creates. */
-    kindInForce: kindInForceSchema.optional(),
+    /** Kind of the program that `input.create` creates. */
+    kindInForce: resolvedKindSchema.optional(),
   }),
   z.object({ kind: z.literal('complete-step'), at, input: completeStepSchema }),
   z.object({ kind: z.literal('abandon-step'), at, input: abandonStepSchema }),
   z.object({ kind: z.literal('resolve-step'), at, input: resolveStepSchema }),
   z.object({ kind: z.literal('end-program'), at, input: endProgramSchema }),
-  /** Drops programs that ended long ago, with their answers. */
+  /** Purges ended programs and their answers. */
   z.object({ kind: z.literal('forget-programs'), at, programs: z.array(id).readonly() }),
   z.object({ kind: z.literal('confirm-orders'), at, orders: z.array(id).readonly() }),
 ]);
 
 export type Command = Readonly<z.output<typeof commandSchema>>;
-export type KindInForce = Readonly<z.output<typeof kindInForceSchema>>;
+export type ResolvedKind = Readonly<z.output<typeof resolvedKindSchema>>;
 export type CreateProgram = Readonly<z.output<typeof createProgramSchema>>;
 export type BeginStep = Readonly<z.output<typeof beginStepSchema>>;
 export type CompleteStep = Readonly<z.output<typeof completeStepSchema>>;
--- a/src/state/configuration-machine.ts
+++ b/src/state/configuration-machine.ts
@@ -10,23 +10,23 @@
 import { type AcceptConfiguration, acceptConfigurationSchema } from './commands';
 import type { AcceptOutcome, NotAccepted } from './outcomes';
 
-/** A file with the number of the configuration that brought it as it is. */
+/** A file with the number of the configuration in which its text last changed. */
 const versionedFileSchema = sourceFileSchema.extend({ since: z.int() });
 type VersionedFile = Readonly<z.output<typeof versionedFileSchema>>;
 
-/** An accepted configuration with the files it came from. */
+/** An accepted configuration with its source files. */
 export interface AcceptedConfiguration {
   readonly configuration: Configuration;
   readonly files: readonly VersionedFile[];
 }
 
-/** What a process lacks that has an older configuration, or none. */
+/** Changes for a process that has an older configuration, or none. */
 export interface ConfigurationChanges {
   readonly number: number;
   readonly digest: string;
-  /** Names of all files. */
+  /** Names of all files, changed or not. */
   readonly names: readonly string[];
-  /** The files that are new or changed since the number that the process has. */
+  /** Files that are new or changed since the number that the process has. */
   readonly changed: readonly SourceFile[];
 }
 
@@ -36,19 +36,20 @@
 ]);
 type Row = Readonly<z.output<typeof rowSchema>>;
 
-/** Digests in one row of a snapshot. */
+/** Maximum number of digests in one snapshot row. */
 const DIGESTS_PER_ROW = 1024;
 
 /**
- * The replicated configuration. A number and digest that were accepted get the same answer for
- * ever; the same number with another digest is refused, and so is a lower number.
+ * The replicated configuration. Accepting is idempotent: a number and digest that were accepted
+ * once always get the same outcome. An accepted number with another digest is rejected, and so is
+ * a new number below the active one.
  */
 export class ConfigurationStateMachine implements StateMachine<AcceptOutcome> {
   readonly #onChange: () => void;
   #accepted: AcceptedConfiguration | undefined;
   #digests = new Map<number, string>();
 
-  /** `onChange` runs after each configuration that is accepted or restored, at every member. */
+  /** `onChange` runs on every member after a configuration was accepted or a snapshot restored. */
   constructor(onChange: () => void = () => undefined) {
     this.#onChange = onChange;
   }
@@ -57,12 +58,12 @@
     return this.#accepted;
   }
 
-  /** Number in force; 0 before the first. */
+  /** Number of the active configuration; 0 if there is none. */
   get number(): number {
     return this.#accepted?.configuration.number ?? 0;
   }
 
-  /** What has changed since a number; nothing if that is the newest. */
+  /** Changes since a configuration number; undefined if that number is not below the active one. */
   changesSince(number: number): ConfigurationChanges | undefined {
     if (this.#accepted === undefined || number >= this.number) return undefined;
     const { configuration, files } = this.#accepted;
@@ -107,10 +108,10 @@
   }
 
   #accept({ number, digest, files }: AcceptConfiguration): AcceptOutcome {
-    const winner = this.#digests.get(number);
-    if (winner === digest) return { outcome: 'accepted', number, digest };
-    if (winner !== undefined) {
-      const message = `number ${number} is taken by the configuration with digest ${winner}; raise "number"`;
+    const acceptedDigest = this.#digests.get(number);
+    if (acceptedDigest === digest) return { outcome: 'accepted', number, digest };
+    if (acceptedDigest !== undefined) {
+      const message = `number ${number} is taken by the configuration with digest ${acceptedDigest}; raise "number"`;
       return this.#refuse('number-taken', message);
     }
     if (number < this.number) {
@@ -122,16 +123,16 @@
     if (parsed.val.number !== number || parsed.val.digest !== digest) {
       return this.#refuse('invalid', 'the files do not match their number and digest');
     }
-    this.#accepted = { configuration: parsed.val, files: this.#versioned(files, number) };
+    this.#accepted = { configuration: parsed.val, files: this.#withVersions(files, number) };
     this.#digests.set(number, digest);
     return { outcome: 'accepted', number, digest };
   }
 
-  #versioned(files: readonly SourceFile[], number: number): readonly VersionedFile[] {
-    const known = new Map(this.#accepted?.files.map((file) => [file.name, file]));
+  #withVersions(files: readonly SourceFile[], number: number): readonly VersionedFile[] {
+    const knownFiles = new Map(this.#accepted?.files.map((file) => [file.name, file]));
     return files.map((file) => {
-      const same = known.get(file.name);
-      return same?.text === file.text ? same : { ...file, since: number };
+      const knownFile = knownFiles.get(file.name);
+      return knownFile?.text === file.text ? knownFile : { ...file, since: number };
     });
   }
 
--- a/src/state/contents.ts
+++ b/src/state/contents.ts
@@ -2,57 +2,59 @@
 import type { BeginDecision, BeginOutcome, CompleteDecision, CompleteOutcome } from './outcomes';
 import { type Answer, type Message, answerSchema, messageSchema } from './records';
 
-/** Texts that the state refers to by handle, so that histories need no memory. */
-export interface Contents {
-  /** Takes a text; returns its handle. */
+/** Stores texts that the state refers to by handle, so that it does not hold them in memory. */
+export interface ContentWriter {
+  /** Stores a text and returns its handle. */
   put(text: string): number;
   drop(handle: number): void;
 }
 
-/** What a done step keeps: the messages that it added to the history, and its answer. */
+/** Content of a done step: the messages that it added to the history, and its answer. */
 const stepContentSchema = z.object({
   messages: z.array(messageSchema).readonly(),
   answer: answerSchema,
 });
 type StepContent = Readonly<z.output<typeof stepContentSchema>>;
 
-/** Encodes the content of a step. */
 export function encodeStepContent(messages: readonly Message[], answer: Answer): string {
   return JSON.stringify({ messages, answer } satisfies StepContent);
 }
 
-/** Handles of what has to be read before a decision can be told. */
-export function contentsOf(decision: BeginDecision | CompleteDecision): readonly number[] {
+/** Handles of the contents that the outcome needs, in order. */
+export function contentHandlesOf(decision: BeginDecision | CompleteDecision): readonly number[] {
   if (decision.outcome === 'run') return decision.history;
   if (decision.outcome === 'replay') return [decision.content];
   if (decision.outcome !== 'superseded') return [];
   return decision.content === undefined ? [] : [decision.content];
 }
 
-/** Puts the texts that {@link contentsOf} named into the outcome of a begin. */
-export function fillBegin(decision: BeginDecision, texts: readonly string[]): BeginOutcome {
+/** Replaces handles by their texts; `texts` are those of {@link contentHandlesOf}. */
+export function toBeginOutcome(decision: BeginDecision, texts: readonly string[]): BeginOutcome {
   switch (decision.outcome) {
     case 'run':
-      return { ...decision, history: texts.flatMap((text) => decode(text).messages) };
+      return { ...decision, history: texts.flatMap((text) => decodeStepContent(text).messages) };
     case 'replay': {
       const { outcome, sequence } = decision;
-      return { outcome, sequence, answer: decode(texts[0] ?? '').answer };
+      return { outcome, sequence, answer: decodeStepContent(texts[0] ?? '').answer };
     }
     default:
       return decision;
   }
 }
 
-/** The same for the outcome of a completion. */
-export function fillComplete(
+/** Replaces handles by their texts; `texts` are those of {@link contentHandlesOf}. */
+export function toCompleteOutcome(
   decision: CompleteDecision,
   texts: readonly string[],
 ): CompleteOutcome {
   if (decision.outcome === 'recorded') return decision;
   const [text] = texts;
-  return { outcome: 'superseded', answer: text === undefined ? undefined : decode(text).answer };
+  return {
+    outcome: 'superseded',
+    answer: text === undefined ? undefined : decodeStepContent(text).answer,
+  };
 }
 
-function decode(text: string): StepContent {
+function decodeStepContent(text: string): StepContent {
   return stepContentSchema.parse(JSON.parse(text));
 }
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -6,7 +6,7 @@
   type CompleteStep,
   type CreateProgram,
   type EndProgram,
-  type KindInForce,
+  type ResolvedKind,
   type ResolveStep,
   abandonStepSchema,
   acceptConfigurationSchema,
@@ -21,7 +21,7 @@
   type ConfigurationChanges,
   ConfigurationStateMachine,
 } from './configuration-machine';
-export { contentsOf, fillBegin, fillComplete } from './contents';
+export { contentHandlesOf, toBeginOutcome, toCompleteOutcome } from './contents';
 export { CONFIGURATION_GROUP, groupOfProgram, programIdOf } from './groups';
 export { resolveKind } from './kinds';
 export { type CommandResult, type CommandResults, ProgramStateMachine } from './machine';
@@ -51,6 +51,6 @@
   answerSchema,
   orderSchema,
 } from './records';
-export type { SnapshotContents } from './snapshot';
+export type { SnapshotContentStore } from './snapshot';
 export { evaluateBegin, sequenceOf } from './steps';
-export type { Tables } from './tables';
+export type { ProgramTables } from './tables';
--- a/src/state/kinds.ts
+++ b/src/state/kinds.ts
@@ -1,17 +1,17 @@
 import type { Configuration } from '../configuration';
-import type { CreateProgram, KindInForce } from './commands';
+import type { CreateProgram, ResolvedKind } from './commands';
 import { type Refused, refuse } from './outcomes';
 
-const MILLISECONDS = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * What a program that is started now may do, from the configuration in force. It is written into
- * the command, so that every member applies the same whatever configuration it has.
+ * Resolves the program kind from the active configuration. The result is part of the command, so
+ * that applying it does not depend on the configuration of the member.
  */
 export function resolveKind(
   configuration: Configuration | undefined,
   input: CreateProgram,
-): KindInForce | Refused {
+): ResolvedKind | Refused {
   if (configuration === undefined) {
     return refuse('no-configuration', 'no configuration was applied yet');
   }
@@ -27,8 +27,8 @@
     name: kind.name,
     services: kind.services,
     turnLimit: kind['turn-limit'],
-    idleMilliseconds: kind['idle-seconds'] * MILLISECONDS,
-    lifeMilliseconds: kind['deadline-seconds'] * MILLISECONDS,
+    idleMilliseconds: kind['idle-seconds'] * MILLISECONDS_PER_SECOND,
+    lifeMilliseconds: kind['deadline-seconds'] * MILLISECONDS_PER_SECOND,
     tokenLimit: budget.tokens,
     callLimit: budget.calls,
   };
--- a/src/state/machine.ts
+++ b/src/state/machine.ts
@@ -1,19 +1,24 @@
 import type { StateMachine } from '../replication';
 import { type Command, commandSchema } from './commands';
 import type { BeginDecision, CompleteDecision, Created, Ended, Refused } from './outcomes';
-import { createProgram, endProgram, forgetPrograms } from './programs';
+import { createProgram, endProgram, purgePrograms } from './programs';
 import { abandonStep, beginStep, completeStep, resolveStep } from './steps';
-import { type SnapshotContents, restoreTables, snapshotTables, transferTables } from './snapshot';
-import { Tables } from './tables';
+import {
+  type SnapshotContentStore,
+  restoreTables,
+  snapshotTables,
+  transferTables,
+} from './snapshot';
+import { ProgramTables } from './tables';
 
-/** A command that has nothing to tell. */
+/** Result of a command that returns no value. */
 export interface Done {
   readonly outcome: 'done';
 }
 
 const DONE: Done = { outcome: 'done' };
 
-/** Result of each kind of command. */
+/** Result types by command kind. */
 export interface CommandResults {
   readonly 'create-program': Created | Refused;
   readonly 'begin-step': BeginDecision;
@@ -27,20 +32,23 @@
 
 export type CommandResult = CommandResults[Command['kind']];
 
-/** The state that the replicated log drives: equal logs give equal states. */
+/** Deterministic state machine of a program group: equal logs give equal states. */
 export class ProgramStateMachine implements StateMachine<CommandResult> {
-  readonly #contents: SnapshotContents;
+  readonly #contents: SnapshotContentStore;
   readonly #onApplied: (command: Command) => void;
-  #tables: Tables;
+  #tables: ProgramTables;
 
-  /** `onApplied` runs after each command, at every member. */
-  constructor(contents: SnapshotContents, onApplied: (command: Command) => void = () => undefined) {
+  /** `onApplied` runs on every member after each command. */
+  constructor(
+    contents: SnapshotContentStore,
+    onApplied: (command: Command) => void = () => undefined,
+  ) {
     this.#contents = contents;
     this.#onApplied = onApplied;
-    this.#tables = new Tables(contents);
+    this.#tables = new ProgramTables(contents);
   }
 
-  get tables(): Tables {
+  get tables(): ProgramTables {
     return this.#tables;
   }
 
@@ -60,7 +68,7 @@
 
   restore(rows: readonly string[]): void {
     this.#contents.reset();
-    this.#tables = new Tables(this.#contents);
+    this.#tables = new ProgramTables(this.#contents);
     restoreTables(this.#tables, this.#contents, rows);
   }
 
@@ -73,24 +81,24 @@
 
   #execute(command: Command, index: number): CommandResult {
     const { tables } = this;
-    const applied = { at: command.at, index };
+    const context = { at: command.at, index };
     switch (command.kind) {
       case 'create-program':
         return createProgram(tables, command.input, command.kindInForce, command.at);
       case 'begin-step':
         return beginStep(tables, command);
       case 'complete-step':
-        return completeStep(tables, command.input, applied);
+        return completeStep(tables, command.input, context);
       case 'abandon-step':
-        abandonStep(tables, command.input, applied);
+        abandonStep(tables, command.input, context);
         return DONE;
       case 'resolve-step':
-        resolveStep(tables, command.input, applied);
+        resolveStep(tables, command.input, context);
         return DONE;
       case 'end-program':
-        return endProgram(tables, command.input, applied);
+        return endProgram(tables, command.input, context);
       case 'forget-programs':
-        forgetPrograms(tables, command.programs);
+        purgePrograms(tables, command.programs);
         return DONE;
       case 'confirm-orders':
         for (const order of command.orders) tables.orders.delete(order);
--- a/src/state/outcomes.ts
+++ b/src/state/outcomes.ts
@@ -1,6 +1,6 @@
 import type { Answer, Claim, Message, Program, Spending } from './records';
 
-/** Why the state refuses a request; nothing was run. */
+/** Reason why a request was refused before anything ran. */
 export type RefusalCode =
   | 'no-configuration'
   | 'unknown-kind'
@@ -20,7 +20,6 @@
   readonly message: string;
 }
 
-/** Builds a refusal. */
 export function refuse(code: RefusalCode, message: string): Refused {
   return { outcome: 'refused', code, message };
 }
@@ -30,7 +29,7 @@
   readonly program: ProgramView;
 }
 
-/** What callers and operators may see of a program. */
+/** Public view of a program, for callers and operators. */
 export interface ProgramView {
   readonly id: string;
   readonly root: string;
@@ -43,7 +42,7 @@
   readonly nextSequence: number;
   readonly messageCount: number;
   readonly contextTokens: number;
-  /** Of the root, so shared with its sub-agents. */
+  /** Spending of the root program, shared by all its descendants. */
   readonly spending: Spending;
 }
 
@@ -52,7 +51,7 @@
   readonly outcome: 'run';
   readonly sequence: number;
   readonly historyCount: number;
-  /** The stored history, when the caller sent only what is new. */
+  /** The stored history if the caller sent only new messages; otherwise empty. */
   readonly history: readonly Message[];
   readonly contextTokens: number;
   readonly lastTarget?: string | undefined;
@@ -60,20 +59,23 @@
   readonly programDeadlineAt: number;
 }
 
-/** The step was answered before. */
+/** The step is done; its stored answer is returned. */
 export interface ReplayStep {
   readonly outcome: 'replay';
   readonly sequence: number;
   readonly answer: Answer;
 }
 
-/** The step can't run yet. */
+/** The step can't run yet; the caller waits and begins it again. */
 export interface WaitStep {
   readonly outcome: 'wait';
   readonly reason: 'earlier-step-missing' | 'step-running';
 }
 
-/** An earlier attempt of a call that may not be repeated has to be settled at its target first. */
+/**
+ * An earlier attempt of a non-repeatable call is unresolved; its outcome has to be requested from
+ * its target first.
+ */
 export interface SettleStep {
   readonly outcome: 'settle';
   readonly sequence: number;
@@ -81,25 +83,24 @@
   readonly claim: Claim;
 }
 
-/** Nobody can tell whether the call ran; it is not run again. */
+/** It is not known whether a non-repeatable call ran, so it is not run again. */
 export interface UnknownOutcome {
   readonly outcome: 'unknown';
 }
 
 export type BeginOutcome = RunStep | ReplayStep | WaitStep | SettleStep | UnknownOutcome | Refused;
 
-/** A {@link BeginOutcome} as the state decides it: texts are named by handle. */
+/** A {@link BeginOutcome} with content handles for texts. */
 export type BeginDecision =
   | (Omit<RunStep, 'history'> & { readonly history: readonly number[] })
   | { readonly outcome: 'replay'; readonly sequence: number; readonly content: number }
   | Exclude<BeginOutcome, RunStep | ReplayStep>;
 
-/** The answer is stored. */
 export interface Recorded {
   readonly outcome: 'recorded';
 }
 
-/** Another attempt took the step over; its answer, if it has one, is the step's. */
+/** Another attempt replaced this one; `answer` is the answer of the step, if it is done. */
 export interface Superseded {
   readonly outcome: 'superseded';
   readonly answer?: Answer | undefined;
@@ -107,7 +108,7 @@
 
 export type CompleteOutcome = Recorded | Superseded;
 
-/** A {@link CompleteOutcome} as the state decides it. */
+/** A {@link CompleteOutcome} with a content handle for the answer. */
 export type CompleteDecision =
   Recorded | { readonly outcome: 'superseded'; readonly content: number | undefined };
 
@@ -117,12 +118,11 @@
   readonly digest: string;
 }
 
-/** A configuration that is not taken. */
 export interface NotAccepted {
   readonly outcome: 'not-accepted';
   readonly code: 'invalid' | 'number-taken' | 'number-low';
   readonly message: string;
-  /** What is in force instead. */
+  /** Number and digest of the active configuration. */
   readonly number: number;
   readonly digest: string;
 }
@@ -134,7 +134,6 @@
   readonly program: ProgramView;
 }
 
-/** Summarises a program. */
 export function viewProgram(program: Program, spending: Spending): ProgramView {
   const { id, root, parent, team, kind, endReason, nextSequence, contextTokens } = program;
   return {
--- a/src/state/programs.ts
+++ b/src/state/programs.ts
@@ -1,20 +1,20 @@
-import type { CreateProgram, EndProgram, KindInForce } from './commands';
-import { openSpending, settle } from './budgets';
+import type { CreateProgram, EndProgram, ResolvedKind } from './commands';
+import { createSpending, settle } from './budgets';
 import { type Created, type Ended, type Refused, refuse, viewProgram } from './outcomes';
 import type { EndReason, Program } from './records';
-import type { Tables } from './tables';
+import type { ProgramTables } from './tables';
 
-/** The log index of a command and its wall time in milliseconds. */
-export interface Applied {
+/** Log index of a command, and its wall time in milliseconds. */
+export interface CommandContext {
   readonly index: number;
   readonly at: number;
 }
 
-/** Creates a program; a repeated command with the same id gets the same answer. */
+/** Idempotent: a repeated command with the same id and arguments gets the same outcome. */
 export function createProgram(
-  tables: Tables,
+  tables: ProgramTables,
   input: CreateProgram,
-  kind: KindInForce,
+  kind: ResolvedKind,
   at: number,
 ): Created | Refused {
   const existing = tables.programs.get(input.id);
@@ -48,8 +48,8 @@
     lastTarget: undefined,
     holders: [],
   };
-  tables.put(program);
-  if (parent === undefined) tables.spending.set(program.id, openSpending(kind));
+  tables.putProgram(program);
+  if (parent === undefined) tables.spending.set(program.id, createSpending(kind));
   else
     tables.children.set(
       parent.id,
@@ -59,7 +59,7 @@
 }
 
 function describeExisting(
-  tables: Tables,
+  tables: ProgramTables,
   program: Program,
   input: CreateProgram,
 ): Created | Refused {
@@ -71,36 +71,40 @@
   return { outcome: 'created', program: viewProgram(program, tables.spendingOf(program)) };
 }
 
-/** Ends a program and its sub-agents, and orders its cache released. */
-export function endProgram(tables: Tables, input: EndProgram, applied: Applied): Ended | Refused {
+/** Ends a program and its descendants, and orders the release of their caches. */
+export function endProgram(
+  tables: ProgramTables,
+  input: EndProgram,
+  context: CommandContext,
+): Ended | Refused {
   const program = tables.programs.get(input.program);
   if (program === undefined) return refuse('unknown-program', `no program "${input.program}"`);
-  if (program.endReason === undefined) endOne(tables, program, input.reason, applied);
+  if (program.endReason === undefined) endLiveProgram(tables, program, input.reason, context);
   const ended = tables.programs.get(input.program) ?? program;
   return { outcome: 'ended', program: viewProgram(ended, tables.spendingOf(ended)) };
 }
 
-/** Ends one live program, its sub-agents first. */
-export function endOne(
-  tables: Tables,
+/** Ends a live program, after its live descendants. */
+export function endLiveProgram(
+  tables: ProgramTables,
   program: Program,
   reason: EndReason,
-  applied: Applied,
+  context: CommandContext,
 ): void {
   for (const childId of tables.children.get(program.id) ?? []) {
     const child = tables.programs.get(childId);
     if (child?.endReason === undefined && child !== undefined) {
-      endOne(tables, child, 'parent-ended', applied);
+      endLiveProgram(tables, child, 'parent-ended', context);
     }
   }
   tables.children.delete(program.id);
-  releaseRunningStep(tables, program);
-  orderRelease(tables, program.id, program.holders, applied);
+  settleRunningStep(tables, program);
+  orderCacheRelease(tables, program.id, program.holders, context);
   const steps = new Map([...program.steps].filter(([, step]) => step.state !== 'running'));
-  tables.put({
+  tables.putProgram({
     ...program,
     endReason: reason,
-    endedAt: applied.at,
+    endedAt: context.at,
     steps,
     messageCount: 0,
     digest: '',
@@ -114,38 +118,38 @@
 }
 
 /**
- * Notes targets that may hold cache of a program: they are told when it ends, or at once if it has
- * ended or was forgotten meanwhile.
+ * Records targets that may have cached prompts of a program. They are ordered to release them when
+ * the program ends, or immediately if it has already ended or been purged.
  */
-export function noteHolders(
-  tables: Tables,
+export function recordCacheHolders(
+  tables: ProgramTables,
   id: string,
   targets: readonly string[],
-  applied: Applied,
+  context: CommandContext,
 ): void {
   const program = tables.programs.get(id);
   if (program === undefined || program.endReason !== undefined) {
-    orderRelease(tables, id, targets, applied);
+    orderCacheRelease(tables, id, targets, context);
     return;
   }
   const holders = [...new Set([...program.holders, ...targets])];
-  tables.put({ ...program, holders });
+  tables.putProgram({ ...program, holders });
 }
 
-function orderRelease(
-  tables: Tables,
+function orderCacheRelease(
+  tables: ProgramTables,
   program: string,
   targets: readonly string[],
-  applied: Applied,
+  context: CommandContext,
 ): void {
   for (const target of targets) {
-    const id = `${applied.index}-${program}-${target}`;
+    const id = `${context.index}-${program}-${target}`;
     tables.orders.set(id, { id, target, kind: 'release-cache', program });
   }
 }
 
-/** What a step under way reserved counts as spent: its engine may have used all of it. */
-function releaseRunningStep(tables: Tables, program: Program): void {
+/** The reservation of a running step counts as spent, since its engine may use all of it. */
+function settleRunningStep(tables: ProgramTables, program: Program): void {
   const running = [...program.steps.values()].find((step) => step.state === 'running');
   if (running === undefined) return;
   const { reservedTokens } = running;
@@ -153,16 +157,16 @@
   tables.spending.set(program.root, spending);
 }
 
-/** Drops ended programs and their answers, with the sub-agents of each; a live one stays. */
-export function forgetPrograms(tables: Tables, ids: readonly string[]): void {
+/** Purges ended programs, their descendants and their answers; ids of live programs are skipped. */
+export function purgePrograms(tables: ProgramTables, ids: readonly string[]): void {
   const ended = new Set(ids.filter((id) => tables.programs.get(id)?.endReason !== undefined));
   for (const [id, program] of tables.programs) {
-    if (ended.has(id) || ended.has(program.root)) forgetOne(tables, program);
+    if (ended.has(id) || ended.has(program.root)) purgeProgram(tables, program);
   }
   for (const id of ended) tables.spending.delete(id);
 }
 
-function forgetOne(tables: Tables, program: Program): void {
+function purgeProgram(tables: ProgramTables, program: Program): void {
   tables.programs.delete(program.id);
   for (const step of program.steps.values()) {
     if (step.state === 'done') tables.contents.drop(step.content);
--- a/src/state/records.ts
+++ b/src/state/records.ts
@@ -1,13 +1,13 @@
 import * as z from 'zod';
 
-/** A chat message, reduced to the fields that the model sees. */
+/** A chat message with the fields that the model receives. */
 export const messageSchema = z.looseObject({ role: z.string() });
 export type Message = Readonly<z.output<typeof messageSchema>>;
 
 export const usageSchema = z.object({
   promptTokens: z.int().nonnegative(),
   completionTokens: z.int().nonnegative(),
-  /** Prompt tokens that the engine found in its cache. */
+  /** Prompt tokens that were in the engine's prefix cache. */
   cachedTokens: z.int().nonnegative(),
 });
 export type Usage = Readonly<z.output<typeof usageSchema>>;
@@ -28,19 +28,19 @@
   kind: z.literal('call'),
   status: z.int(),
   contentType: z.string(),
-  /** The body's bytes in base64. */
+  /** Response body in base64. */
   body: z.string(),
 });
 export type CallAnswer = Readonly<z.output<typeof callAnswer>>;
 
-/** A whole answer, kept so that a resend of the same request gets it again. */
+/** A complete answer, stored so that a repeated request gets it again. */
 export const answerSchema = z.discriminatedUnion('kind', [turnAnswer, callAnswer]);
 export type Answer = Readonly<z.output<typeof answerSchema>>;
 
-/** Where a call that may not be repeated was sent. */
+/** The target that a non-repeatable call was sent to. */
 export const claimSchema = z.object({
   target: z.string(),
-  /** Incarnation of the sidecar that was to admit it; another one refuses it. */
+  /** Incarnation of the target's sidecar; any other incarnation refuses the call. */
   incarnation: z.string(),
 });
 export type Claim = Readonly<z.output<typeof claimSchema>>;
@@ -48,36 +48,34 @@
 interface StepBase {
   readonly sequence: number;
   readonly requestDigest: string;
-  /** Identifies this run of the step; a later run has another. */
+  /** Id of the attempt that runs or ran this step. */
   readonly attempt: string;
 }
 
-/** A step whose answer is awaited. */
 export interface RunningStep extends StepBase {
   readonly state: 'running';
-  /** The entry process that works on it, as name/incarnation. */
+  /** The entry process that runs it, as name/incarnation. */
   readonly entry: string;
-  /** Present for calls that may not be repeated. */
+  /** Present for non-repeatable calls. */
   readonly claim: Claim | undefined;
   readonly reservedTokens: number;
 }
 
-/** A step whose answer is known. */
 export interface DoneStep extends StepBase {
   readonly state: 'done';
-  /** Handle of the content that holds the answer, and the messages that the step added. */
+  /** Handle of the answer and the messages that the step added. */
   readonly content: number;
 }
 
-/** A step that may not be repeated and of which nobody can tell whether it ran. */
+/** A non-repeatable step of which it is not known whether it ran. */
 export interface UnknownStep extends StepBase {
   readonly state: 'unknown';
 }
 
-/** One turn or service call of a program. */
+/** A turn or service call of a program. */
 export type Step = RunningStep | DoneStep | UnknownStep;
 
-/** What a program and its sub-agents have used, in tokens and calls. */
+/** Tokens and calls of a root program and its descendants. */
 export interface Spending {
   readonly tokenLimit: number;
   readonly callLimit: number;
@@ -89,10 +87,10 @@
 
 export type EndReason = 'completed' | 'deleted' | 'idle' | 'deadline' | 'parent-ended';
 
-/** One program; times are wall time in milliseconds. */
+/** Times are wall time in milliseconds. */
 export interface Program {
   readonly id: string;
-  /** The program whose budget is drawn on; its own id for one without a parent. */
+  /** Top-level ancestor, whose budget is used; the program's own id if it has no parent. */
   readonly root: string;
   readonly parent: string | undefined;
   readonly team: string;
@@ -105,22 +103,22 @@
   readonly lastActivityAt: number;
   readonly endReason: EndReason | undefined;
   readonly endedAt: number | undefined;
-  /** Length of the history, whose messages are in the contents of the done steps. */
+  /** Length of the history; its messages are in the contents of the done steps. */
   readonly messageCount: number;
-  /** Digest of the whole history; empty before the first message. */
+  /** Digest of the full history; empty before the first message. */
   readonly digest: string;
-  /** Tokens of the history at the last answer. */
+  /** Tokens of the history as of the last engine turn. */
   readonly contextTokens: number;
   readonly steps: ReadonlyMap<number, Step>;
   readonly nextSequence: number;
-  /** Sequences of the steps that were begun with an idempotency key. */
+  /** Sequences of steps by idempotency key. */
   readonly keys: ReadonlyMap<string, number>;
   readonly lastTarget: string | undefined;
-  /** Targets that may hold cache of this program. */
+  /** Targets that may have cached prompts of this program. */
   readonly holders: readonly string[];
 }
 
-/** An order to a target, kept until its sidecar has confirmed it. */
+/** A command to a target, stored until its sidecar confirms it. */
 export const orderSchema = z.object({
   id: z.string(),
   target: z.string(),
--- a/src/state/snapshot.ts
+++ b/src/state/snapshot.ts
@@ -1,38 +1,38 @@
 import * as z from 'zod';
 import { type ContentPlace, contentPlaceSchema } from '../storage';
-import type { Contents } from './contents';
+import type { ContentWriter } from './contents';
 import type { Order, Program, Spending, Step } from './records';
-import type { Tables } from './tables';
+import type { ProgramTables } from './tables';
 
-/** The contents as snapshots need them. */
-export interface SnapshotContents extends Contents {
+/** Content storage that can be written to and restored from snapshots. */
+export interface SnapshotContentStore extends ContentWriter {
   putAs(handle: number, text: string): void;
   adopt(handle: number, place: ContentPlace): void;
   has(handle: number): boolean;
   get(handle: number): Promise<string>;
   placeOf(handle: number): ContentPlace | undefined;
   reset(): void;
-  /** Resolves once every text is synced. */
+  /** Resolves once all texts are synced to disk. */
   flush(): Promise<void>;
   unusedFiles(): readonly number[];
   removeFiles(numbers: readonly number[]): Promise<void>;
 }
 
-/** A program as a snapshot holds it: maps become lists. */
+/** A program in a snapshot, with maps encoded as lists. */
 interface ProgramRow extends Omit<Program, 'steps' | 'keys'> {
   readonly steps: readonly Step[];
   readonly keys: readonly (readonly [string, number])[];
 }
 
-/** One row of a snapshot. Only this module writes and reads them, so they are not checked again. */
+/** A snapshot row. Only this module writes rows, so their values are not validated when read. */
 type Row =
   | { readonly table: 'programs'; readonly value: ProgramRow }
   | { readonly table: 'spending'; readonly key: string; readonly value: Spending }
   | { readonly table: 'children'; readonly key: string; readonly value: readonly string[] }
   | { readonly table: 'orders'; readonly value: Order }
-  /** Where a content lies on this host. */
+  /** Location of a content in the files of this host. */
   | { readonly table: 'places'; readonly handle: number; readonly value: ContentPlace }
-  /** A content itself, for another host. */
+  /** Text of a content, for another host. */
   | { readonly table: 'texts'; readonly handle: number; readonly value: string };
 
 const tableSchema = z.looseObject({
@@ -40,11 +40,14 @@
 });
 
 /**
- * The rows of the tables as they stand now, with the places of their contents on this host. The
- * records are immutable, so that only the lists of them are copied here, and each is encoded when
- * its row is read; the contents must be flushed by then.
+ * Rows of the tables at the time of the call, with the locations of their contents on this host.
+ * Rows are encoded lazily: the records are immutable, so only the lists of them are copied up
+ * front. The contents must be flushed before the rows are read.
  */
-export function snapshotTables(tables: Tables, contents: SnapshotContents): Iterable<string> {
+export function snapshotTables(
+  tables: ProgramTables,
+  contents: SnapshotContentStore,
+): Iterable<string> {
   const captured = captureTables(tables);
   return {
     *[Symbol.iterator]() {
@@ -57,13 +60,16 @@
   };
 }
 
-/** The same for another host: with the contents themselves. */
-export function transferTables(tables: Tables, contents: SnapshotContents): AsyncIterable<string> {
+/** Like {@link snapshotTables}, for another host: with the texts of the contents. */
+export function transferTables(
+  tables: ProgramTables,
+  contents: SnapshotContentStore,
+): AsyncIterable<string> {
   const captured = captureTables(tables);
   return {
     async *[Symbol.asyncIterator]() {
       for (const handle of handlesOf(captured.programs)) {
-        // A program that was forgotten since is forgotten by the entries that follow, too.
+        // Purged after the capture; the log entries that follow the snapshot purge it there too.
         if (!contents.has(handle)) continue;
         yield encode({ table: 'texts', handle, value: await contents.get(handle) });
       }
@@ -72,10 +78,10 @@
   };
 }
 
-/** Fills empty tables from the rows of a snapshot. */
+/** Loads the rows of a snapshot into empty tables. */
 export function restoreTables(
-  tables: Tables,
-  contents: SnapshotContents,
+  tables: ProgramTables,
+  contents: SnapshotContentStore,
   rows: readonly string[],
 ): void {
   for (const text of rows) {
@@ -85,10 +91,10 @@
   }
 }
 
-function restoreRow(tables: Tables, contents: SnapshotContents, row: Row): void {
+function restoreRow(tables: ProgramTables, contents: SnapshotContentStore, row: Row): void {
   switch (row.table) {
     case 'programs':
-      tables.put(fromRow(row.value));
+      tables.putProgram(fromRow(row.value));
       return;
     case 'spending':
       tables.spending.set(row.key, row.value);
@@ -107,15 +113,15 @@
   }
 }
 
-/** Lists of immutable records, as they stood at one moment. */
-interface Captured {
+/** Lists of immutable records at one point in time. */
+interface CapturedTables {
   readonly programs: readonly Program[];
   readonly spending: readonly (readonly [string, Spending])[];
   readonly children: readonly (readonly [string, ReadonlySet<string>])[];
   readonly orders: readonly Order[];
 }
 
-function captureTables(tables: Tables): Captured {
+function captureTables(tables: ProgramTables): CapturedTables {
   return {
     programs: [...tables.programs.values()],
     spending: [...tables.spending],
@@ -124,7 +130,12 @@
   };
 }
 
-function* encodeTables({ programs, spending, children, orders }: Captured): Generator<string> {
+function* encodeTables({
+  programs,
+  spending,
+  children,
+  orders,
+}: CapturedTables): Generator<string> {
   for (const program of programs) yield encode({ table: 'programs', value: toRow(program) });
   for (const [key, value] of spending) yield encode({ table: 'spending', key, value });
   for (const [key, value] of children) {
--- a/src/state/steps.ts
+++ b/src/state/steps.ts
@@ -3,18 +3,18 @@
 import { reserve, settle } from './budgets';
 import type { AbandonStep, BeginStep, Command, CompleteStep, ResolveStep } from './commands';
 import { type BeginDecision, type CompleteDecision, refuse } from './outcomes';
-import { type Applied, createProgram, endOne, noteHolders } from './programs';
+import { type CommandContext, createProgram, endLiveProgram, recordCacheHolders } from './programs';
 import type { Answer, Program, RunningStep, Spending, Step } from './records';
-import type { Tables } from './tables';
+import type { ProgramTables } from './tables';
 
 /**
- * Tells what would become of a step, without changing anything. `displaces` names a running
- * attempt whose entry is dead.
+ * Decides the outcome of beginning a step, without changing state. `displacedAttempt` is a running
+ * attempt whose entry has ended.
  */
 export function evaluateBegin(
-  tables: Tables,
+  tables: ProgramTables,
   input: BeginStep,
-  displaces: string | undefined,
+  displacedAttempt: string | undefined,
 ): BeginDecision {
   const program = tables.programs.get(input.program);
   if (program?.team !== input.team) {
@@ -22,26 +22,26 @@
   }
   const sequence = sequenceOf(program, input);
   const step = program.steps.get(sequence);
-  if (step !== undefined) return evaluateExisting(tables, program, step, input, displaces);
+  if (step !== undefined) return evaluateExisting(tables, program, step, input, displacedAttempt);
   return evaluateNew(tables, program, sequence, input);
 }
 
-/** The step's place: as numbered, as begun before with the same key, or the next one. */
+/** The given sequence, else that of an earlier step with the same key, else the next sequence. */
 export function sequenceOf(program: Program, input: BeginStep): number {
   const known = input.key === undefined ? undefined : program.keys.get(input.key);
   return input.sequence ?? known ?? program.nextSequence;
 }
 
 function evaluateExisting(
-  tables: Tables,
+  tables: ProgramTables,
   program: Program,
   step: Step,
   input: BeginStep,
-  displaces: string | undefined,
+  displacedAttempt: string | undefined,
 ): BeginDecision {
-  const named =
+  const numberedByCaller =
     input.sequence !== undefined || (input.key !== undefined && program.keys.has(input.key));
-  if (named && step.requestDigest !== input.requestDigest) {
+  if (numberedByCaller && step.requestDigest !== input.requestDigest) {
     const message = `sequence ${step.sequence} was used for another request`;
     return refuse('sequence-conflict', message);
   }
@@ -49,16 +49,16 @@
   if (step.state === 'done') {
     return { outcome: 'replay', sequence: step.sequence, content: step.content };
   }
-  if (step.attempt === input.attempt) return describeRun(program, step.sequence, input);
-  if (displaces !== step.attempt) return { outcome: 'wait', reason: 'step-running' };
+  if (step.attempt === input.attempt) return runDecision(program, step.sequence, input);
+  if (displacedAttempt !== step.attempt) return { outcome: 'wait', reason: 'step-running' };
   if (step.claim === undefined) {
-    return checkRun(settledAsSpent(tables, program, step), program, step.sequence, input);
+    return checkRun(spendReservation(tables, program, step), program, step.sequence, input);
   }
   return { outcome: 'settle', sequence: step.sequence, attempt: step.attempt, claim: step.claim };
 }
 
 function evaluateNew(
-  tables: Tables,
+  tables: ProgramTables,
   program: Program,
   sequence: number,
   input: BeginStep,
@@ -88,15 +88,15 @@
     return refuse('history-mismatch', message);
   }
   if (reserve(spending, reservationOf(program, input)) === undefined) {
-    const left = spending.tokenLimit - spending.spentTokens - spending.reservedTokens;
-    const calls = spending.callLimit - spending.spentCalls - spending.reservedCalls;
-    const message = `needs up to ${reservationOf(program, input)} tokens and a call; ${left} tokens and ${calls} calls are left`;
+    const tokensLeft = spending.tokenLimit - spending.spentTokens - spending.reservedTokens;
+    const callsLeft = spending.callLimit - spending.spentCalls - spending.reservedCalls;
+    const message = `needs up to ${reservationOf(program, input)} tokens and a call; ${tokensLeft} tokens and ${callsLeft} calls are left`;
     return refuse('budget-exceeded', message);
   }
-  return describeRun(program, sequence, input);
+  return runDecision(program, sequence, input);
 }
 
-/** Tokens that a turn may use at most: the known history, what is new, and the output. */
+/** Upper bound of a turn's tokens: stored history, new messages and output. */
 function reservationOf(program: Program, input: BeginStep): number {
   const context = input.history.kind === 'none' ? 0 : program.contextTokens;
   return context + input.newTokens + input.outputTokens;
@@ -109,7 +109,7 @@
   return input.history.digests[stored - 1] === program.digest;
 }
 
-function describeRun(program: Program, sequence: number, input: BeginStep): BeginDecision {
+function runDecision(program: Program, sequence: number, input: BeginStep): BeginDecision {
   return {
     outcome: 'run',
     sequence,
@@ -121,26 +121,26 @@
   };
 }
 
-/** Starts a step if {@link evaluateBegin} lets it run. */
+/** Starts a step if {@link evaluateBegin} decides `run`. */
 export function beginStep(
-  tables: Tables,
-  { input, displaces, kindInForce, at }: Extract<Command, { kind: 'begin-step' }>,
+  tables: ProgramTables,
+  { input, displaces: displacedAttempt, kindInForce, at }: Extract<Command, { kind: 'begin-step' }>,
 ): BeginDecision {
   if (input.create !== undefined && kindInForce !== undefined) {
     const created = createProgram(tables, input.create, kindInForce, at);
     if (created.outcome === 'refused') return created;
   }
-  const outcome = evaluateBegin(tables, input, displaces);
+  const outcome = evaluateBegin(tables, input, displacedAttempt);
   if (outcome.outcome !== 'run') return outcome;
-  const program = existingProgram(tables, input.program);
+  const program = requireProgram(tables, input.program);
   const previous = program.steps.get(outcome.sequence);
   if (previous?.attempt === input.attempt) return outcome;
   if (previous?.state === 'running') {
-    tables.spending.set(program.root, settledAsSpent(tables, program, previous));
+    tables.spending.set(program.root, spendReservation(tables, program, previous));
   }
   const reservedTokens = reservationOf(program, input);
   const spending = reserve(tables.spendingOf(program), reservedTokens);
-  if (spending === undefined) throw new Error('A step was let run past its budget');
+  if (spending === undefined) throw new Error('Step reservation exceeds the program budget');
   tables.spending.set(program.root, spending);
   const step: RunningStep = {
     state: 'running',
@@ -157,22 +157,23 @@
   return outcome;
 }
 
-/** The dead attempt's whole reservation counts as spent, since its engine may have used it. */
-function settledAsSpent(tables: Tables, program: Program, step: RunningStep): Spending {
+/** Counts the reservation of a displaced attempt as spent, since its engine may have used it. */
+function spendReservation(tables: ProgramTables, program: Program, step: RunningStep): Spending {
   return settle(tables.spendingOf(program), step.reservedTokens, step.reservedTokens, 1);
 }
 
-/** Stores an answer; an attempt that was displaced changes nothing. */
+/** Stores an answer. An attempt that no longer runs only records its target as a cache holder. */
 export function completeStep(
-  tables: Tables,
+  tables: ProgramTables,
   input: CompleteStep,
-  applied: Applied,
+  context: CommandContext,
 ): CompleteDecision {
   const program = tables.programs.get(input.program);
   const step = program?.steps.get(input.sequence);
   if (step?.state === 'done' && step.attempt === input.attempt) return { outcome: 'recorded' };
   if (program === undefined || step?.state !== 'running' || step.attempt !== input.attempt) {
-    if (input.usage !== undefined) noteHolders(tables, input.program, [input.target], applied);
+    if (input.usage !== undefined)
+      recordCacheHolders(tables, input.program, [input.target], context);
     return { outcome: 'superseded', content: step?.state === 'done' ? step.content : undefined };
   }
   const used = usedTokens(input);
@@ -181,7 +182,7 @@
   const engineTurn = input.usage !== undefined;
   const updated: Program = {
     ...program,
-    lastActivityAt: applied.at,
+    lastActivityAt: context.at,
     messageCount: program.messageCount + input.messages.length,
     digest: digestPrefixes(input.messages, program.digest).at(-1) ?? program.digest,
     contextTokens: engineTurn ? used : program.contextTokens,
@@ -196,8 +197,8 @@
     attempt,
     content: tables.contents.put(encodeStepContent(input.messages, input.answer)),
   });
-  if (engineTurn) noteHolders(tables, program.id, [input.target], applied);
-  if (input.end) endOne(tables, existingProgram(tables, program.id), 'completed', applied);
+  if (engineTurn) recordCacheHolders(tables, program.id, [input.target], context);
+  if (input.end) endLiveProgram(tables, requireProgram(tables, program.id), 'completed', context);
   return { outcome: 'recorded' };
 }
 
@@ -205,9 +206,13 @@
   return (input.usage?.promptTokens ?? 0) + (input.usage?.completionTokens ?? 0);
 }
 
-/** Takes a running step back, so that the same sequence can be begun again. */
-export function abandonStep(tables: Tables, input: AbandonStep, applied: Applied): void {
-  noteHolders(tables, input.program, input.holders, applied);
+/** Removes a running step, so that its sequence can be begun again. */
+export function abandonStep(
+  tables: ProgramTables,
+  input: AbandonStep,
+  context: CommandContext,
+): void {
+  recordCacheHolders(tables, input.program, input.holders, context);
   const program = tables.programs.get(input.program);
   const step = program?.steps.get(input.sequence);
   if (program === undefined || step?.state !== 'running' || step.attempt !== input.attempt) return;
@@ -219,16 +224,20 @@
   tables.spending.set(program.root, settled);
   const steps = new Map(program.steps);
   steps.delete(input.sequence);
-  tables.put({ ...program, steps, lastActivityAt: applied.at });
+  tables.putProgram({ ...program, steps, lastActivityAt: context.at });
 }
 
-/** Records what became of an attempt whose entry died. */
-export function resolveStep(tables: Tables, input: ResolveStep, applied: Applied): void {
+/** Records the outcome of an attempt whose entry has ended. */
+export function resolveStep(
+  tables: ProgramTables,
+  input: ResolveStep,
+  context: CommandContext,
+): void {
   const program = tables.programs.get(input.program);
   const step = program?.steps.get(input.sequence);
   if (program === undefined || step?.state !== 'running' || step.attempt !== input.attempt) return;
   if (input.finding.kind === 'not-run') {
-    abandonStep(tables, { ...input, spent: false, holders: [] }, applied);
+    abandonStep(tables, { ...input, spent: false, holders: [] }, context);
     return;
   }
   const spending = settle(tables.spendingOf(program), step.reservedTokens, 0, 1);
@@ -237,31 +246,31 @@
   const base = { sequence, requestDigest, attempt };
   const finding: Step =
     input.finding.kind === 'answered'
-      ? { ...base, state: 'done', content: putAnswer(tables, input.finding.answer) }
+      ? { ...base, state: 'done', content: storeAnswer(tables, input.finding.answer) }
       : { ...base, state: 'unknown' };
   const nextSequence = Math.max(program.nextSequence, sequence + 1);
-  putStep(tables, { ...program, lastActivityAt: applied.at, nextSequence }, finding);
+  putStep(tables, { ...program, lastActivityAt: context.at, nextSequence }, finding);
 }
 
-function putAnswer(tables: Tables, answer: Answer): number {
+function storeAnswer(tables: ProgramTables, answer: Answer): number {
   return tables.contents.put(encodeStepContent([], answer));
 }
 
-/** Contents of the done steps, whose messages make up the history in this order. */
+/** Content handles of the done steps by sequence; their messages form the history. */
 function historyContents(program: Program): readonly number[] {
   return [...program.steps.values()]
     .sort((left, right) => left.sequence - right.sequence)
     .flatMap((step) => (step.state === 'done' ? [step.content] : []));
 }
 
-function putStep(tables: Tables, program: Program, step: Step): void {
+function putStep(tables: ProgramTables, program: Program, step: Step): void {
   const steps = new Map(program.steps);
   steps.set(step.sequence, step);
-  tables.put({ ...program, steps });
+  tables.putProgram({ ...program, steps });
 }
 
-function existingProgram(tables: Tables, id: string): Program {
+function requireProgram(tables: ProgramTables, id: string): Program {
   const program = tables.programs.get(id);
-  if (program === undefined) throw new Error(`No program ${id}`);
+  if (program === undefined) throw new Error(`No program "${id}"`);
   return program;
 }
--- a/src/state/tables.ts
+++ b/src/state/tables.ts
@@ -1,32 +1,32 @@
-import type { Contents } from './contents';
+import type { ContentWriter } from './contents';
 import type { Order, Program, Spending } from './records';
 
 /**
- * The programs of one group. The records are immutable and replaced whole; only the state machine
- * writes to the maps, and only while it applies a command.
+ * State of one program group. Records are immutable and replaced as a whole; only the state machine
+ * writes to the maps, while it applies a command or restores a snapshot.
  */
-export class Tables {
-  readonly contents: Contents;
+export class ProgramTables {
+  readonly contents: ContentWriter;
   readonly programs = new Map<string, Program>();
-  /** By root program. */
+  /** By id of the root program. */
   readonly spending = new Map<string, Spending>();
-  /** Sub-agents that are live, by parent. */
+  /** Ids of live child programs, by id of the parent. */
   readonly children = new Map<string, ReadonlySet<string>>();
   readonly orders = new Map<string, Order>();
 
-  constructor(contents: Contents) {
+  constructor(contents: ContentWriter) {
     this.contents = contents;
   }
 
-  /** Replaces one program. */
-  put(program: Program): void {
+  putProgram(program: Program): void {
     this.programs.set(program.id, program);
   }
 
-  /** Spending of a program's root; it exists as long as the program. */
+  /** Spending of a program's root, which exists as long as the program. */
   spendingOf(program: Program): Spending {
     const spending = this.spending.get(program.root);
-    if (spending === undefined) throw new Error(`No spending for program ${program.root}`);
+    if (spending === undefined)
+      throw new Error(`No spending record for root program "${program.root}"`);
     return spending;
   }
 }
--- a/src/state/tests/fixture.ts
+++ b/src/state/tests/fixture.ts
@@ -6,19 +6,19 @@
   type BeginDecision,
   type CompleteDecision,
   ProgramStateMachine,
-  contentsOf,
-  fillBegin,
-  fillComplete,
+  contentHandlesOf,
+  toBeginOutcome,
+  toCompleteOutcome,
   resolveKind,
 } from '..';
-import { MemoryContents } from './memory-contents';
+import { MemoryContentStore } from './memory-contents';
 
 const sidecar = { host: '127.0.0.1', port: 7000 };
 const target = { name: 'engine-a', availabilityZone: 'zone-a', sidecar, address: sidecar };
 
 export const TEAM = 'counter';
 
-/** Operators' files with a budget of the given size. */
+/** Configuration files with the given budget. */
 export function filesWithBudget(tokens: number, calls: number) {
   return localFiles({ engines: [target], plain: [{ ...target, name: 'plain-a' }] }).map((file) => ({
     ...file,
@@ -28,9 +28,9 @@
   }));
 }
 
-/** Drives a state machine as the replicated log does. */
-export class StateFixture {
-  readonly contents = new MemoryContents();
+/** Applies commands to a state machine, as the replicated log does. */
+export class StateMachineFixture {
+  readonly contents = new MemoryContentStore();
   readonly machine = new ProgramStateMachine(this.contents);
   readonly #configuration: Configuration;
   #index = 0;
@@ -58,7 +58,7 @@
     return this.apply({ kind: 'create-program', at: this.now, input, kindInForce });
   }
 
-  /** A turn with one new message, unless told otherwise. */
+  /** Input of a turn with one new message; `extra` overrides its fields. */
   step(program: string, sequence: number, extra: Partial<BeginStep> = {}): BeginStep {
     this.#attempts += 1;
     return {
@@ -76,10 +76,12 @@
     };
   }
 
-  begin(input: BeginStep, displaces?: string) {
+  begin(input: BeginStep, displacedAttempt?: string) {
     const command = { kind: 'begin-step', at: this.now, input } as const;
-    const decision = this.apply(displaces === undefined ? command : { ...command, displaces });
-    return fillBegin(decision, this.#textsOf(decision));
+    const decision = this.apply(
+      displacedAttempt === undefined ? command : { ...command, displaces: displacedAttempt },
+    );
+    return toBeginOutcome(decision, this.#textsOf(decision));
   }
 
   complete(step: BeginStep, text: string, used = { prompt: 50, completion: 10 }) {
@@ -107,7 +109,7 @@
         end: false,
       },
     });
-    return fillComplete(decision, this.#textsOf(decision));
+    return toCompleteOutcome(decision, this.#textsOf(decision));
   }
 
   abandon(step: BeginStep, holders: readonly string[]) {
@@ -116,25 +118,24 @@
     return this.apply({ kind: 'abandon-step', at: this.now, input });
   }
 
-  /** The whole history of a program, as an entry would be given it. */
+  /** History that an entry gets when it begins the step `sequence`; empty unless the step runs. */
   history(program: string, sequence: number) {
     const outcome = this.begin(this.step(program, sequence));
     return outcome.outcome === 'run' ? outcome.history : [];
   }
 
   #textsOf(decision: BeginDecision | CompleteDecision): readonly string[] {
-    return contentsOf(decision).map((handle) => this.contents.read(handle));
+    return contentHandlesOf(decision).map((handle) => this.contents.read(handle));
   }
 
-  /** Digests of a message list, as an entry sends them. */
-  static whole(...contents: readonly (readonly [string, string])[]): BeginStep['history'] {
+  static wholeHistory(...contents: readonly (readonly [string, string])[]): BeginStep['history'] {
     const messages = contents.map(([role, content]) => ({ role, content }));
     return { kind: 'whole', digests: digestPrefixes(messages) };
   }
 
   spending(program: string) {
     const record = this.machine.tables.programs.get(program);
-    if (record === undefined) throw new Error(`no program ${program}`);
+    if (record === undefined) throw new Error(`No program "${program}"`);
     return this.machine.tables.spendingOf(record);
   }
 }
--- a/src/state/tests/memory-contents.ts
+++ b/src/state/tests/memory-contents.ts
@@ -1,7 +1,7 @@
-import type { SnapshotContents } from '..';
+import type { SnapshotContentStore } from '..';
 
-/** Contents in memory, read at once. */
-export class MemoryContents implements SnapshotContents {
+/** Keeps contents in memory, with a synchronous read. */
+export class MemoryContentStore implements SnapshotContentStore {
   readonly #texts = new Map<number, string>();
   #next = 1;
 
@@ -22,7 +22,7 @@
 
   read(handle: number): string {
     const text = this.#texts.get(handle);
-    if (text === undefined) throw new Error(`no content ${handle}`);
+    if (text === undefined) throw new Error(`No content with handle ${handle}`);
     return text;
   }
 
@@ -43,7 +43,7 @@
   }
 
   adopt(): void {
-    throw new Error('contents in memory have no places');
+    throw new Error('MemoryContentStore has no content locations to adopt');
   }
 
   placeOf(): undefined {
--- a/src/state/tests/snapshot.test.ts
+++ b/src/state/tests/snapshot.test.ts
@@ -1,20 +1,20 @@
 import { ContentStore } from '../../storage';
 import { MemoryDisk } from '../../storage/tests/disk';
 import { ProgramStateMachine } from '..';
-import { StateFixture } from './fixture';
-import { MemoryContents } from './memory-contents';
+import { StateMachineFixture } from './fixture';
+import { MemoryContentStore } from './memory-contents';
 
-/** The tables as a value that can be compared. */
+/** The tables without their content store, for comparison. */
 function valueOf({ tables }: ProgramStateMachine) {
   const { programs, spending, children, orders } = tables;
   return { programs, spending, children, orders };
 }
 
-describe('a snapshot of the programs', () => {
-  let state: StateFixture;
+describe('program snapshots', () => {
+  let state: StateMachineFixture;
 
   beforeEach(() => {
-    state = new StateFixture();
+    state = new StateMachineFixture();
     state.create('p-1');
     state.create('p-2', 'p-1');
     const first = state.step('p-1', 1, { key: 'a key' });
@@ -27,10 +27,10 @@
     state.begin(state.step('p-1', 2));
   });
 
-  it('for another host brings everything, with the contents', async () => {
+  it('for another host restore all tables and content texts', async () => {
     const rows: string[] = [];
     for await (const row of state.machine.transfer()) rows.push(row);
-    const contents = new MemoryContents();
+    const contents = new MemoryContentStore();
     const copy = new ProgramStateMachine(contents);
     copy.restore(rows);
     expect(valueOf(copy)).toEqual(valueOf(state.machine));
@@ -38,19 +38,19 @@
     expect(step?.state === 'done' && contents.read(step.content)).toContain('one?');
   });
 
-  it('shows the state as it was taken, whatever happens before it is read', async () => {
+  it('contain the state at capture time, despite later commands', async () => {
     const transfer = state.machine.transfer();
     const before = { ...valueOf(state.machine), programs: new Map(state.machine.tables.programs) };
     const input = { program: 'p-1', reason: 'deleted' } as const;
     state.apply({ kind: 'end-program', at: state.now, input });
     const rows: string[] = [];
     for await (const row of transfer) rows.push(row);
-    const copy = new ProgramStateMachine(new MemoryContents());
+    const copy = new ProgramStateMachine(new MemoryContentStore());
     copy.restore(rows);
     expect(copy.tables.programs).toEqual(before.programs);
   });
 
-  it('on its own host names the places of the contents, and frees files only afterwards', async () => {
+  it('for the same host hold locations, and unused files stay until after the flush', async () => {
     const disk = new MemoryDisk();
     const options = { folder: '/contents', fileSystem: disk.mount(), cacheCharacters: 0 };
     const contents = new ContentStore({ ...options, fileBytes: 10 });
@@ -88,7 +88,7 @@
     expect(await disk.mount().list('/contents')).toEqual([]);
   });
 
-  it('drops the contents of programs that are forgotten', () => {
+  it('drop the contents of purged programs', () => {
     const input = { program: 'p-1', reason: 'deleted' } as const;
     state.apply({ kind: 'end-program', at: state.now, input });
     expect(state.contents.size).toBe(1);
--- a/src/state/tests/steps.test.ts
+++ b/src/state/tests/steps.test.ts
@@ -1,15 +1,15 @@
-import { StateFixture } from './fixture';
+import { StateMachineFixture } from './fixture';
 
 describe('steps of a program', () => {
-  let state: StateFixture;
+  let state: StateMachineFixture;
 
   beforeEach(() => {
-    state = new StateFixture();
+    state = new StateMachineFixture();
     state.create('p-1');
   });
 
-  describe('in order', () => {
-    it('run one at a time', () => {
+  describe('in sequence', () => {
+    it('run one at a time and in order', () => {
       const first = state.step('p-1', 1);
       expect(state.begin(first)).toMatchObject({ outcome: 'run', sequence: 1 });
       expect(state.begin(state.step('p-1', 2))).toEqual({
@@ -20,14 +20,14 @@
       expect(state.begin(state.step('p-1', 2))).toMatchObject({ outcome: 'run', sequence: 2 });
     });
 
-    it('give a repeated begin of the same attempt the same answer', () => {
+    it('get the same outcome and one reservation for a repeated begin of an attempt', () => {
       const first = state.step('p-1', 1);
       const outcome = state.begin(first);
       expect(state.begin(first)).toEqual(outcome);
       expect(state.spending('p-1').reservedCalls).toBe(1);
     });
 
-    it('give a resend the stored answer, and another request under its sequence none', () => {
+    it('replay the stored answer to a repeated request, and refuse another request', () => {
       const first = state.step('p-1', 1);
       state.begin(first);
       state.complete(first, 'one');
@@ -40,8 +40,8 @@
     });
   });
 
-  describe('of another team, service or beyond the limit', () => {
-    it('are refused, the program of another team as if there were none', () => {
+  describe('of another team, another service or beyond the turn limit', () => {
+    it('are refused, and a program of another team is reported as unknown', () => {
       expect(state.begin(state.step('p-1', 1, { team: 'other' }))).toMatchObject({
         code: 'unknown-program',
       });
@@ -52,7 +52,7 @@
     });
   });
 
-  describe('with the whole history', () => {
+  describe('with the full history', () => {
     const asked: readonly [string, string] = ['user', 'one?'];
     const answered: readonly [string, string] = ['assistant', 'one'];
 
@@ -62,20 +62,20 @@
       state.complete(first, 'one');
     });
 
-    it('run when the list extends what is stored', () => {
-      const history = StateFixture.whole(asked, answered, ['user', 'two?']);
+    it('run when the list extends the stored history', () => {
+      const history = StateMachineFixture.wholeHistory(asked, answered, ['user', 'two?']);
       expect(state.begin(state.step('p-1', 2, { history }))).toMatchObject({
         outcome: 'run',
         historyCount: 2,
       });
     });
 
-    it('are refused when it is shorter, or other anywhere', () => {
+    it('are refused when the list is shorter or differs at any position', () => {
       const lists = [
-        StateFixture.whole(asked),
-        StateFixture.whole(asked, ['assistant', 'uno'], ['user', 'two?']),
-        StateFixture.whole(['user', 'ONE?'], answered, ['user', 'two?']),
-        StateFixture.whole(answered, asked, ['user', 'two?']),
+        StateMachineFixture.wholeHistory(asked),
+        StateMachineFixture.wholeHistory(asked, ['assistant', 'uno'], ['user', 'two?']),
+        StateMachineFixture.wholeHistory(['user', 'ONE?'], answered, ['user', 'two?']),
+        StateMachineFixture.wholeHistory(answered, asked, ['user', 'two?']),
       ];
       for (const history of lists) {
         expect(state.begin(state.step('p-1', 2, { history }))).toMatchObject({
@@ -85,16 +85,16 @@
     });
   });
 
-  describe('whose entry died', () => {
-    it('are taken over, and the dead attempt changes nothing any more', () => {
-      const dead = state.step('p-1', 1);
-      state.begin(dead);
+  describe('whose entry has ended', () => {
+    it('are run by another attempt, which supersedes a late completion', () => {
+      const displaced = state.step('p-1', 1);
+      state.begin(displaced);
       const next = state.step('p-1', 1, { entry: 'entry-2/b' });
       expect(state.begin(next)).toEqual({ outcome: 'wait', reason: 'step-running' });
-      expect(state.begin(next, dead.attempt)).toMatchObject({ outcome: 'run' });
-      expect(state.complete(dead, 'late')).toEqual({ outcome: 'superseded' });
+      expect(state.begin(next, displaced.attempt)).toMatchObject({ outcome: 'run' });
+      expect(state.complete(displaced, 'late')).toEqual({ outcome: 'superseded' });
       expect(state.complete(next, 'right')).toEqual({ outcome: 'recorded' });
-      expect(state.complete(dead, 'late')).toMatchObject({
+      expect(state.complete(displaced, 'late')).toMatchObject({
         outcome: 'superseded',
         answer: { message: { content: 'right' } },
       });
@@ -102,29 +102,34 @@
       expect(contents).toEqual(['right?', 'right']);
     });
 
-    it('count the whole reservation of the dead attempt as spent', () => {
-      const dead = state.step('p-1', 1);
-      state.begin(dead);
-      state.begin(state.step('p-1', 1), dead.attempt);
+    it('count the reservation of the displaced attempt as spent', () => {
+      const displaced = state.step('p-1', 1);
+      state.begin(displaced);
+      state.begin(state.step('p-1', 1), displaced.attempt);
       expect(state.spending('p-1')).toMatchObject({ spentTokens: 200, reservedTokens: 200 });
     });
 
-    describe('and may not be repeated', () => {
+    describe('and that are not repeatable', () => {
       const claim = { target: 'plain-a', incarnation: 'x' };
       const call = { service: 'check-in', history: { kind: 'none' }, claim } as const;
 
-      it('are settled at their target before anything runs again', () => {
-        const dead = state.step('p-1', 1, call);
-        state.begin(dead);
+      it('are settled at their target before another attempt runs', () => {
+        const displaced = state.step('p-1', 1, call);
+        state.begin(displaced);
         const next = state.step('p-1', 1, call);
-        expect(state.begin(next, dead.attempt)).toEqual({
+        expect(state.begin(next, displaced.attempt)).toEqual({
           outcome: 'settle',
           sequence: 1,
-          attempt: dead.attempt,
+          attempt: displaced.attempt,
           claim,
         });
         const settle = (kind: 'not-run' | 'unknown') => {
-          const input = { program: 'p-1', sequence: 1, attempt: dead.attempt, finding: { kind } };
+          const input = {
+            program: 'p-1',
+            sequence: 1,
+            attempt: displaced.attempt,
+            finding: { kind },
+          };
           state.apply({ kind: 'resolve-step', at: state.now, input });
         };
         settle('unknown');
@@ -132,11 +137,11 @@
         expect(state.begin(next)).toEqual({ outcome: 'unknown' });
       });
 
-      it('run again when they provably did not', () => {
-        const dead = state.step('p-1', 1, call);
-        state.begin(dead);
+      it('run again when the target reports that they did not run', () => {
+        const displaced = state.step('p-1', 1, call);
+        state.begin(displaced);
         const finding = { kind: 'not-run' } as const;
-        const input = { program: 'p-1', sequence: 1, attempt: dead.attempt, finding };
+        const input = { program: 'p-1', sequence: 1, attempt: displaced.attempt, finding };
         state.apply({ kind: 'resolve-step', at: state.now, input });
         expect(state.begin(state.step('p-1', 1, call))).toMatchObject({ outcome: 'run' });
         expect(state.spending('p-1')).toMatchObject({ spentCalls: 0, reservedCalls: 1 });
@@ -145,8 +150,8 @@
   });
 
   describe('and the budget', () => {
-    it('of the root bounds its sub-agents together, also at the same time', () => {
-      state = new StateFixture(500, 10);
+    it("of the root limits its own and its descendants' concurrent steps together", () => {
+      state = new StateMachineFixture(500, 10);
       state.create('p-1');
       state.create('p-2', 'p-1');
       state.create('p-3', 'p-2');
@@ -159,8 +164,8 @@
       expect(state.spending('p-3')).toMatchObject({ reservedTokens: 400, spentTokens: 0 });
     });
 
-    it('is charged what was used, and counts calls too', () => {
-      state = new StateFixture(10_000, 1);
+    it('is charged the tokens used, and limits calls too', () => {
+      state = new StateMachineFixture(10_000, 1);
       state.create('p-1');
       const first = state.step('p-1', 1);
       state.begin(first);
@@ -170,8 +175,8 @@
     });
   });
 
-  describe('of a program that ends', () => {
-    it('end with its sub-agents, and every target that may hold cache is told', () => {
+  describe('of an ended program', () => {
+    it('are refused, also in its children, and targets get an order to release caches', () => {
       state.create('p-2', 'p-1');
       const first = state.step('p-2', 1);
       state.begin(first);
@@ -185,7 +190,7 @@
       expect(state.machine.tables.programs.get('p-2')?.endReason).toBe('parent-ended');
     });
 
-    describe('while a turn is under way', () => {
+    describe('that ended during a turn', () => {
       function orders() {
         return [...state.machine.tables.orders.values()];
       }
@@ -195,7 +200,7 @@
         state.apply({ kind: 'end-program', at: state.now, input });
       }
 
-      it('have what the turn left in cache released once its answer comes', () => {
+      it('create the order to release the cache when the turn completes', () => {
         const late = state.step('p-1', 1);
         state.begin(late);
         end();
@@ -204,7 +209,7 @@
         expect(orders()).toMatchObject([{ target: 'engine-a', program: 'p-1' }]);
       });
 
-      it('have what a failed turn left in cache released, also once they are forgotten', () => {
+      it('create the order when the turn is abandoned, even after the program is purged', () => {
         const late = state.step('p-1', 1);
         state.begin(late);
         end();
@@ -215,12 +220,12 @@
       });
     });
 
-    it('release the cache of an attempt that another took over, too', () => {
-      const dead = state.step('p-1', 1);
-      state.begin(dead);
+    it('create the order for the target of a displaced attempt, too', () => {
+      const displaced = state.step('p-1', 1);
+      state.begin(displaced);
       const next = state.step('p-1', 1);
-      state.begin(next, dead.attempt);
-      state.abandon(dead, ['engine-b']);
+      state.begin(next, displaced.attempt);
+      state.abandon(displaced, ['engine-b']);
       state.complete(next, 'one');
       const input = { program: 'p-1', reason: 'deleted' } as const;
       state.apply({ kind: 'end-program', at: state.now, input });
@@ -228,7 +233,7 @@
       expect(released.sort()).toEqual(['engine-a', 'engine-b']);
     });
 
-    it('keep their answers until they are forgotten', () => {
+    it('keep their answers until the program is purged', () => {
       const first = state.step('p-1', 1);
       state.begin(first);
       state.complete(first, 'one');
