--- a/src/entry/chat-answer.ts
+++ b/src/entry/chat-answer.ts
@@ -7,7 +7,7 @@
   readonly function: { readonly name: string; readonly arguments: string };
 }
 
-/** Puts a streamed answer together. */
+/** Assembles an answer from the chunks of an engine's stream. */
 export class AnswerBuilder {
   #id = '';
   #model = '';
@@ -17,11 +17,6 @@
   #finishReason: string | undefined;
   #usage: Usage | undefined;
 
-  /** Whether any part of the answer has come. */
-  get begun(): boolean {
-    return this.#content.length > 0 || this.#toolCalls.size > 0;
-  }
-
   add(chunk: ChatChunk): void {
     this.#id = chunk.id;
     this.#model = chunk.model;
@@ -40,7 +35,7 @@
     }
   }
 
-  /** The whole answer; nothing when the stream ended before the engine had finished. */
+  /** The complete answer; undefined when no finish reason or no usage was received. */
   build(): TurnAnswer | undefined {
     if (this.#finishReason === undefined || this.#usage === undefined) return undefined;
     const content = this.#content.length === 0 ? null : this.#content.join('');
@@ -61,32 +56,32 @@
   }
 
   #addToolCall(delta: ToolCallDelta): void {
-    const known = this.#toolCalls.get(delta.index);
-    const name = `${known?.function.name ?? ''}${delta.function?.name ?? ''}`;
-    const text = `${known?.function.arguments ?? ''}${delta.function?.arguments ?? ''}`;
+    const previous = this.#toolCalls.get(delta.index);
+    const name = `${previous?.function.name ?? ''}${delta.function?.name ?? ''}`;
+    const argumentsText = `${previous?.function.arguments ?? ''}${delta.function?.arguments ?? ''}`;
     this.#toolCalls.set(delta.index, {
-      id: delta.id ?? known?.id ?? '',
-      type: delta.type ?? known?.type ?? 'function',
-      function: { name, arguments: text },
+      id: delta.id ?? previous?.id ?? '',
+      type: delta.type ?? previous?.type ?? 'function',
+      function: { name, arguments: argumentsText },
     });
   }
 }
 
-/** Fields of a message that the model sees; callers' libraries add others when they echo one. */
+/** Message fields that the model sees. Client libraries add others when they send an answer back. */
 const MESSAGE_FIELDS = ['role', 'content', 'name', 'tool_calls', 'tool_call_id'] as const;
 
-/** Reduces a message to what the model sees, so that an echoed answer equals the stored one. */
+/** Drops fields that the model does not see, so that a resent answer equals the stored one. */
 export function normalizeMessage(message: Message): Message {
-  const kept = MESSAGE_FIELDS.flatMap((field) => {
+  const present = MESSAGE_FIELDS.flatMap((field) => {
     const value = message[field];
-    const absent = value === undefined || (value === null && field !== 'content');
-    return absent ? [] : [[field, value] as const];
+    const isAbsent = value === undefined || (value === null && field !== 'content');
+    return isAbsent ? [] : [[field, value] as const];
   });
   const content = message['content'] === undefined ? [['content', null] as const] : [];
-  return { ...Object.fromEntries([...kept, ...content]), role: message.role };
+  return { ...Object.fromEntries([...present, ...content]), role: message.role };
 }
 
-/** Renders an answer as the OpenAI API's chat completion. */
+/** Formats an answer as an OpenAI `chat.completion` object. */
 export function formatCompletion(answer: TurnAnswer): unknown {
   return {
     id: answer.id,
@@ -105,7 +100,7 @@
   };
 }
 
-/** Renders token counts as the OpenAI API does. */
+/** Formats token counts as an OpenAI `usage` object. */
 export function formatUsage(usage: Usage): unknown {
   return {
     prompt_tokens: usage.promptTokens,
--- a/src/entry/chat-schema.ts
+++ b/src/entry/chat-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import { messageSchema } from '../state/records';
 
-/** The part of a chat completion request that martenbay reads; the rest goes to the engine. */
+/** Fields of a chat completion request that martenbay reads; others are forwarded unchanged. */
 export const chatRequestSchema = z.looseObject({
   model: z.string().min(1),
   messages: z.array(messageSchema).min(1),
@@ -23,7 +23,7 @@
 });
 export type ToolCallDelta = Readonly<z.output<typeof toolCallDeltaSchema>>;
 
-/** One event of an engine's streamed answer. */
+/** A `chat.completion.chunk` event in an engine's stream. */
 export const chatChunkSchema = z.looseObject({
   id: z.string(),
   model: z.string(),
--- a/src/entry/chat-stream.ts
+++ b/src/entry/chat-stream.ts
@@ -2,44 +2,44 @@
 import type { TurnAnswer } from '../state';
 import { formatUsage } from './chat-answer';
 
-/** Bytes that may wait for a caller that reads slowly, before it is cut off. */
-const UNREAD_LIMIT_BYTES = 1024 * 1024;
+/** Unsent bytes above which a slow caller's connection is closed. */
+const WRITE_BUFFER_LIMIT_BYTES = 1024 * 1024;
 
 /**
- * Writes one chat answer to a caller as server-sent events. The last event is sent only once the
- * answer is stored, so that a caller that has a whole answer can rely on it being the program's.
+ * Writes one chat answer to a caller as server-sent events. The final events are sent only after
+ * the answer is stored: a caller that received a complete answer has the one in the history.
  */
 export class ChatStream {
   readonly #response: ServerResponse;
   readonly #includeUsage: boolean;
-  #begun = false;
+  #hasStarted = false;
 
   constructor(response: ServerResponse, includeUsage: boolean) {
     this.#response = response;
     this.#includeUsage = includeUsage;
   }
 
-  /** Whether anything was sent, so that the answer can't be begun anew. */
-  get begun(): boolean {
-    return this.#begun;
+  /** Whether an event was sent; after that the answer can't be restarted. */
+  get hasStarted(): boolean {
+    return this.#hasStarted;
   }
 
-  /** Sends one event's data as the engine wrote it. */
+  /** Sends the data of one event unchanged. */
   forward(data: string): void {
     if (this.#response.destroyed) return;
-    this.#begin();
+    this.#start();
     this.#response.write(`data: ${data}\n\n`);
-    if (this.#response.writableLength > UNREAD_LIMIT_BYTES) this.#response.destroy();
+    if (this.#response.writableLength > WRITE_BUFFER_LIMIT_BYTES) this.#response.destroy();
   }
 
-  /** Sends the end of the answer. */
+  /** Sends the finish reason, the usage if requested, and `[DONE]`. */
   finish(answer: TurnAnswer): void {
     this.#sendChunk(answer, [{ index: 0, delta: {}, finish_reason: answer.finishReason }]);
     if (this.#includeUsage) this.#sendChunk(answer, [], { usage: formatUsage(answer.usage) });
     this.#response.end('data: [DONE]\n\n');
   }
 
-  /** Sends a stored answer whole. */
+  /** Sends a stored answer as a complete stream. */
   replay(answer: TurnAnswer): void {
     const delta = {
       ...answer.message,
@@ -56,15 +56,15 @@
     this.finish(answer);
   }
 
-  #sendChunk(answer: TurnAnswer, choices: readonly unknown[], extra: object = {}): void {
+  #sendChunk(answer: TurnAnswer, choices: readonly unknown[], extraFields: object = {}): void {
     const { id, model, created } = answer;
-    const chunk = { id, object: 'chat.completion.chunk', created, model, choices, ...extra };
+    const chunk = { id, object: 'chat.completion.chunk', created, model, choices, ...extraFields };
     this.forward(JSON.stringify(chunk));
   }
 
-  #begin(): void {
-    if (this.#begun) return;
-    this.#begun = true;
+  #start(): void {
+    if (this.#hasStarted) return;
+    this.#hasStarted = true;
     this.#response.setHeader('content-type', 'text/event-stream; charset=utf-8');
     this.#response.setHeader('cache-control', 'no-cache');
     this.#response.setHeader('x-accel-buffering', 'no');
--- a/src/entry/chat.ts
+++ b/src/entry/chat.ts
@@ -5,14 +5,14 @@
 import { formatCompletion, normalizeMessage } from './chat-answer';
 import { type ChatRequest, chatRequestSchema } from './chat-schema';
 import { ChatStream } from './chat-stream';
-import { type EntryContext, configurationOf, startDeadline } from './context';
+import { type EntryContext, requireConfiguration, startDeadline } from './context';
 import { type EngineTurn, TurnFailure, runTurn } from './engine-turn';
 import { passThrough } from './pass-through';
-import { Refusal, notRun } from './refusal';
+import { Refusal, notRunRefusal } from './refusal';
 import { type CallHeaders, authenticate, parseCallHeaders, parseJson, readBody } from './request';
-import { abandonStep, beginStep, completeStep, createInput } from './step';
+import { abandonStep, beginStep, completeStep, createProgramInput } from './step';
 
-/** Everything known of one chat call before its program is asked. */
+/** A parsed and authenticated chat call. */
 interface ChatCall {
   readonly configuration: Configuration;
   readonly team: Team;
@@ -22,17 +22,17 @@
   readonly messages: readonly Message[];
   readonly program: string;
   readonly attempt: string;
-  /** The call is a program of its own, which ends with it. */
-  readonly alone: boolean;
+  /** The call names no program: it runs as a program of one step, which ends with it. */
+  readonly isStandalone: boolean;
 }
 
-/** Answers `POST /v1/chat/completions`. */
+/** Handles `POST /v1/chat/completions`. */
 export async function handleChat(
   context: EntryContext,
   incoming: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const configuration = configurationOf(context);
+  const configuration = requireConfiguration(context);
   const team = authenticate(incoming, configuration);
   const headers = parseCallHeaders(
     incoming,
@@ -41,7 +41,7 @@
   );
   const body = await readBody(incoming, context.settings['body-limit-bytes']);
   const request = parseJson(chatRequestSchema, body);
-  const service = findEngine(configuration, request.model);
+  const service = findEngineService(configuration, request.model);
   if (service.adoption !== 'managed') {
     await passThrough(context, service, { incoming, response, body, path: '/v1/chat/completions' });
     return;
@@ -55,16 +55,16 @@
     messages: request.messages.map(normalizeMessage),
     program: headers.program ?? context.programIds.create(configuration),
     attempt: context.random.hex(12),
-    alone: headers.program === undefined,
+    isStandalone: headers.program === undefined,
   });
 }
 
-function findEngine(configuration: Configuration, model: string): Service {
+function findEngineService(configuration: Configuration, model: string): Service {
   const service = configuration.services.find(
     (entry) => entry.type === 'engine' && entry.model === model,
   );
   if (service !== undefined) return service;
-  throw notRun(404, 'unknown-model', `no service has the model "${model}"`);
+  throw notRunRefusal(404, 'unknown-model', `no service has the model "${model}"`);
 }
 
 async function serveChat(
@@ -75,44 +75,50 @@
   const includeUsage = call.request.stream_options?.include_usage === true;
   const stream = call.request.stream === true ? new ChatStream(response, includeUsage) : undefined;
   const step = buildStep(context, call);
-  const begun = await beginStep(context, step, call.headers.deadline);
-  if (begun.kind === 'replay') {
-    sendAnswer(response, stream, turnAnswerOf(begun.answer));
+  const result = await beginStep(context, step, call.headers.deadline);
+  if (result.kind === 'replay') {
+    sendAnswer(response, stream, turnAnswerOf(result.answer));
     return;
   }
-  const { run } = begun;
-  const added = call.headers.appendsHistory ? call.messages : call.messages.slice(run.historyCount);
-  if (added.length === 0) {
+  const { run } = result;
+  const newMessages = call.headers.appendsHistory
+    ? call.messages
+    : call.messages.slice(run.historyCount);
+  if (newMessages.length === 0) {
     await abandonStep(context, failedAttempt(call, run.sequence, false, []));
-    throw notRun(409, 'bad-request', 'the list has no message that is new to the program');
+    throw notRunRefusal(409, 'bad-request', 'the list has no message that is new to the program');
   }
   const deadline = Math.min(
     call.headers.deadline,
     monotonicDeadline(context, run.programDeadlineAt),
   );
   const { controller, cancel } = startDeadline(context.clock, deadline);
-  if (call.alone) abortWhenCallerLeaves(response, controller);
+  if (call.isStandalone) abortOnDisconnect(response, controller);
   const turn: EngineTurn = {
     ...call,
     run,
-    messages: call.headers.appendsHistory ? [...run.history, ...added] : call.messages,
+    messages: call.headers.appendsHistory ? [...run.history, ...newMessages] : call.messages,
     newTokens: step.newTokens,
     outputTokens: step.outputTokens,
     stream,
     signal: controller.signal,
   };
   try {
-    const answer = await runAndStore(context, call, turn, added);
+    const answer = await runAndStore(context, call, turn, newMessages);
     sendAnswer(response, stream, answer);
   } finally {
     cancel();
   }
 }
 
-/** The last tokens may be on their way; nobody will ask for the answer of a lone call again. */
-function abortWhenCallerLeaves(response: ServerResponse, controller: AbortController): void {
+/**
+ * Aborts a standalone call when its caller disconnects, since nothing else can request its answer.
+ * A response whose end was already written counts as delivered.
+ */
+function abortOnDisconnect(response: ServerResponse, controller: AbortController): void {
   response.once('close', () => {
-    if (!response.writableEnded) controller.abort(new Error('the caller left'));
+    if (!response.writableEnded)
+      controller.abort(new Error('caller disconnected before the response was complete'));
   });
 }
 
@@ -120,7 +126,7 @@
   context: EntryContext,
   call: ChatCall,
   turn: EngineTurn,
-  added: readonly Message[],
+  newMessages: readonly Message[],
 ): Promise<TurnAnswer> {
   const { sequence } = turn.run;
   try {
@@ -130,25 +136,25 @@
       sequence,
       attempt: call.attempt,
       answer,
-      messages: [...added, normalizeMessage(answer.message)],
+      messages: [...newMessages, normalizeMessage(answer.message)],
       usage: answer.usage,
       target,
-      end: call.alone,
+      end: call.isStandalone,
     });
-    if (stored !== answer && turn.stream?.begun === true) throw supersededStream();
+    if (stored !== answer && turn.stream?.hasStarted === true) throw supersededStreamRefusal();
     return turnAnswerOf(stored);
   } catch (error) {
-    const holders = error instanceof TurnFailure ? error.holders : [];
-    const spent = !(error instanceof TurnFailure && holders.length === 0);
-    const failed = failedAttempt(call, sequence, spent, holders);
+    const reachedTargets = error instanceof TurnFailure ? error.reachedTargets : [];
+    const spent = !(error instanceof TurnFailure && reachedTargets.length === 0);
+    const failed = failedAttempt(call, sequence, spent, reachedTargets);
     if (error instanceof TurnFailure) await abandonStep(context, failed);
     else void abandonStep(context, failed);
     throw error instanceof TurnFailure ? error.refusal : error;
   }
 }
 
-/** What the caller has read is not the answer that counts; it asks again and gets that one. */
-function supersededStream(): Refusal {
+/** The streamed events differ from the stored answer, which a repeated request receives. */
+function supersededStreamRefusal(): Refusal {
   const message = 'another entry took this step over; ask again for its answer';
   return new Refusal({ status: 503, code: 'superseded', message, outcome: 'unknown' });
 }
@@ -157,16 +163,16 @@
   call: ChatCall,
   sequence: number,
   spent: boolean,
-  holders: readonly string[],
+  reachedTargets: readonly string[],
 ) {
-  return { program: call.program, sequence, attempt: call.attempt, spent, holders };
+  return { program: call.program, sequence, attempt: call.attempt, spent, holders: reachedTargets };
 }
 
 function buildStep(context: EntryContext, call: ChatCall): BeginStep {
   const { request, service, headers, team, program, messages } = call;
   const outputTokens =
     request.max_completion_tokens ?? request.max_tokens ?? service['output-tokens'];
-  const bytes = Buffer.byteLength(JSON.stringify(request.messages));
+  const requestBytes = Buffer.byteLength(JSON.stringify(request.messages));
   return {
     program,
     team: team.name,
@@ -175,22 +181,23 @@
     entry: context.identity,
     service: service.name,
     requestDigest: digestValue({ ...request, messages, stream: null, stream_options: null }),
-    ...(call.alone ? { create: createInput(context, program, team) } : {}),
+    ...(call.isStandalone ? { create: createProgramInput(context, program, team) } : {}),
     history: headers.appendsHistory
       ? { kind: 'append' }
       : { kind: 'whole', digests: digestPrefixes(messages) },
-    newTokens: Math.ceil(bytes / service['bytes-per-token']),
+    newTokens: Math.ceil(requestBytes / service['bytes-per-token']),
     outputTokens,
   };
 }
 
-function monotonicDeadline(context: EntryContext, wallTime: number): number {
-  return context.clock.monotonic() + (wallTime - context.clock.now());
+/** Converts wall-clock time to this process's monotonic clock; both in milliseconds. */
+function monotonicDeadline(context: EntryContext, wallClockTime: number): number {
+  return context.clock.monotonic() + (wallClockTime - context.clock.now());
 }
 
 function turnAnswerOf(answer: Answer): TurnAnswer {
   if (answer.kind === 'turn') return answer;
-  throw notRun(409, 'bad-request', 'this sequence was a service call');
+  throw notRunRefusal(409, 'bad-request', 'this sequence was a service call');
 }
 
 function sendAnswer(
@@ -202,7 +209,7 @@
     response
       .writeHead(200, { 'content-type': 'application/json' })
       .end(JSON.stringify(formatCompletion(answer)));
-  } else if (stream.begun) {
+  } else if (stream.hasStarted) {
     stream.finish(answer);
   } else {
     stream.replay(answer);
--- a/src/entry/context.ts
+++ b/src/entry/context.ts
@@ -11,50 +11,50 @@
 import type { RoutingPolicy } from '../routing';
 import type { EntrySettings } from '../settings';
 import type { TargetDirectory } from './directory';
-import { Refusal, notRun } from './refusal';
-import type { ProgramIds } from './program-ids';
+import { Refusal, notRunRefusal } from './refusal';
+import type { ProgramIdGenerator } from './program-ids';
 import type { SidecarClient } from './sidecar-client';
 
-/** What the handlers of an entry share. */
+/** Dependencies shared by the request handlers of an entry. */
 export interface EntryContext {
-  /** This process, as name/incarnation. */
+  /** Host name and incarnation, separated by a slash. */
   readonly identity: string;
   readonly settings: EntrySettings['entry'];
   readonly configuration: ConfigurationInForce;
   readonly control: ControlClient;
   readonly directory: TargetDirectory;
   readonly sidecars: SidecarClient;
-  readonly programIds: ProgramIds;
+  readonly programIds: ProgramIdGenerator;
   readonly policy: RoutingPolicy;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Whether the process finishes its last calls. */
-  readonly isStopping: () => boolean;
+  /** Whether the process is draining its requests before it stops. */
+  readonly isDraining: () => boolean;
 }
 
-/** The configuration in force; without one nothing is served. */
-export function configurationOf(context: EntryContext): Configuration {
+/** Returns the active configuration, or throws a refusal when none is known yet. */
+export function requireConfiguration(context: EntryContext): Configuration {
   const { current } = context.configuration;
   if (current === undefined) {
-    throw notRun(503, 'control-unavailable', 'no configuration is in force yet');
+    throw notRunRefusal(503, 'control-unavailable', 'no configuration is in force yet');
   }
   return current;
 }
 
-/** Starts a signal that aborts at a monotonic time. */
+/** Starts a signal that aborts at `deadline`, in milliseconds of the monotonic clock. */
 export function startDeadline(clock: Clock, deadline: number): Timeout {
   return startTimeout(clock, deadline - clock.monotonic());
 }
 
-/** Runs a call to the leader, turning its failure into a refusal with the given outcome. */
-export async function askControl<T>(
+/** Runs a control call; {@link ControlUnavailableError} becomes a refusal with `outcome`. */
+export async function callControl<T>(
   outcome: 'not-run' | 'unknown',
-  ask: () => Promise<T>,
+  call: () => Promise<T>,
 ): Promise<T> {
   try {
-    return await ask();
+    return await call();
   } catch (error) {
     if (!(error instanceof ControlUnavailableError)) throw error;
     const message = 'the control hosts gave no answer';
--- a/src/entry/directory.ts
+++ b/src/entry/directory.ts
@@ -3,22 +3,21 @@
 import type { DirectoryChanges, Load, TargetRecord } from '../protocol';
 import type { Candidate } from '../routing';
 
-/** A target as an entry sees it. */
-export interface KnownTarget {
+export interface AvailableTarget {
   readonly target: Target;
   readonly incarnation: string;
   readonly candidate: Candidate;
 }
 
 /**
- * The targets that an entry may send calls to: those of the configuration in force whose sidecar
- * is serving. A target of which the leader has no word yet counts as it did before.
+ * Targets that an entry may call: those in the active configuration whose sidecar is serving. A
+ * target that a new leader has not reported yet keeps its last known record.
  */
 export class TargetDirectory {
   readonly #availabilityZone: string;
   readonly #records = new Map<string, TargetRecord>();
-  readonly #ownCalls = new Map<string, number>();
-  readonly #setAsideUntil = new Map<string, number>();
+  readonly #callsInFlight = new Map<string, number>();
+  readonly #cooldownUntil = new Map<string, number>();
   readonly #clock: Clock;
   #epoch = 0;
   #version = 0;
@@ -28,92 +27,93 @@
     this.#clock = clock;
   }
 
-  /** The newest changes seen, for the next watch. */
+  /** Epoch and version of the latest changes applied; the next watch asks for newer ones. */
   get position(): { readonly epoch: number; readonly version: number } {
     return { epoch: this.#epoch, version: this.#version };
   }
 
-  /** Targets that are known to serve. */
   get servingCount(): number {
     return [...this.#records.values()].filter((record) => record.state === 'serving').length;
   }
 
-  /** Takes over what the leader told. */
   update(changes: DirectoryChanges): void {
     this.#epoch = changes.epoch;
     this.#version = changes.version;
     for (const record of changes.targets) this.#records.set(record.target, record);
   }
 
-  /** Notes the load that came with an answer, which is newer than the leader's. */
+  /** Records the load reported with a response, which is newer than the leader's. */
   observeLoad(target: string, load: Load): void {
     const record = this.#records.get(target);
     if (record !== undefined) this.#records.set(target, { ...record, load });
   }
 
-  callStarted(target: string): void {
-    this.#ownCalls.set(target, (this.#ownCalls.get(target) ?? 0) + 1);
+  recordCallStart(target: string): void {
+    this.#callsInFlight.set(target, (this.#callsInFlight.get(target) ?? 0) + 1);
   }
 
-  callEnded(target: string): void {
-    this.#ownCalls.set(target, (this.#ownCalls.get(target) ?? 1) - 1);
+  recordCallEnd(target: string): void {
+    this.#callsInFlight.set(target, (this.#callsInFlight.get(target) ?? 1) - 1);
   }
 
-  /** Keeps calls from a target that just failed one, as long as others can take them. */
-  setAside(target: string): void {
-    this.#setAsideUntil.set(target, this.#clock.monotonic() + SET_ASIDE_MILLISECONDS);
+  /** Skips a target that failed a call for a short time, while other targets are available. */
+  startCooldown(target: string): void {
+    this.#cooldownUntil.set(target, this.#clock.monotonic() + FAILURE_COOLDOWN_MILLISECONDS);
   }
 
-  /** Targets of a service that may get a call now, without the excluded ones. */
+  /** Serving targets of a service without `excluded`; those in cooldown only if all are. */
   available(
     configuration: Configuration,
     service: Service,
     excluded: ReadonlySet<string>,
-  ): readonly KnownTarget[] {
+  ): readonly AvailableTarget[] {
     const pool = configuration.pools.find((entry) => entry.name === service.pool);
-    const serving = (pool?.targets ?? []).flatMap((target): readonly KnownTarget[] => {
+    const serving = (pool?.targets ?? []).flatMap((target): readonly AvailableTarget[] => {
       const record = this.#records.get(target.name);
       if (record?.state !== 'serving' || excluded.has(target.name)) return [];
-      return [this.#describe(configuration, target, record)];
+      return [this.#toAvailableTarget(configuration, target, record)];
     });
     const now = this.#clock.monotonic();
-    const healthy = serving.filter(
-      ({ target }) => (this.#setAsideUntil.get(target.name) ?? 0) <= now,
+    const notInCooldown = serving.filter(
+      ({ target }) => (this.#cooldownUntil.get(target.name) ?? 0) <= now,
     );
-    return healthy.length > 0 ? healthy : serving;
+    return notInCooldown.length > 0 ? notInCooldown : serving;
   }
 
-  /** A target by name, whether it serves or not. */
+  /** Finds a configured target by name, whether or not it is serving. */
   find(configuration: Configuration, name: string): Target | undefined {
     return configuration.pools
       .flatMap((pool) => pool.targets)
       .find((target) => target.name === name);
   }
 
-  #describe(configuration: Configuration, target: Target, record: TargetRecord): KnownTarget {
+  #toAvailableTarget(
+    configuration: Configuration,
+    target: Target,
+    record: TargetRecord,
+  ): AvailableTarget {
     return {
       target,
       incarnation: record.incarnation,
       candidate: {
         target: target.name,
         load: record.load,
-        ownCalls: this.#ownCalls.get(target.name) ?? 0,
-        distanceMilliseconds: this.#distance(configuration, target['availability-zone']),
+        ownCalls: this.#callsInFlight.get(target.name) ?? 0,
+        distanceMilliseconds: this.#networkLatency(configuration, target['availability-zone']),
       },
     };
   }
 
-  #distance(configuration: Configuration, zone: string): number {
+  #networkLatency(configuration: Configuration, zone: string): number {
     if (zone === this.#availabilityZone) return 0;
     const distance = configuration.distances.find(
       ({ between }) => between.includes(zone) && between.includes(this.#availabilityZone),
     );
-    return distance?.['one-way-milliseconds'] ?? UNKNOWN_DISTANCE_MILLISECONDS;
+    return distance?.['one-way-milliseconds'] ?? DEFAULT_NETWORK_LATENCY_MILLISECONDS;
   }
 }
 
-/** How long a target that failed a call gets no further one. */
-const SET_ASIDE_MILLISECONDS = 1000;
+const FAILURE_COOLDOWN_MILLISECONDS = 1000;
 
-/** Assumed between availability zones whose distance no file gives. */
-const UNKNOWN_DISTANCE_MILLISECONDS = 50;
+/** One-way latency assumed between availability zones without a configured distance. */
+const DEFAULT_NETWORK_LATENCY_MILLISECONDS = 50;
--- a/src/entry/engine-turn.ts
+++ b/src/entry/engine-turn.ts
@@ -7,11 +7,10 @@
 import { type ChatRequest, chatChunkSchema } from './chat-schema';
 import type { ChatStream } from './chat-stream';
 import type { EntryContext } from './context';
-import { Refusal, notRun } from './refusal';
+import { Refusal, notRunRefusal } from './refusal';
 import { chooseTarget } from './route';
-import { CallError, type TargetAnswer, type TargetCall } from './sidecar-client';
+import { CallError, type TargetResponse, type TargetCall } from './sidecar-client';
 
-/** One turn, ready to be sent to an engine. */
 export interface EngineTurn {
   readonly configuration: Configuration;
   readonly service: Service;
@@ -22,7 +21,7 @@
   readonly messages: readonly Message[];
   readonly newTokens: number;
   readonly outputTokens: number;
-  /** Where to send parts of the answer as they come; absent for a whole answer. */
+  /** Receives the answer in parts; undefined when the caller did not request a stream. */
   readonly stream: ChatStream | undefined;
   readonly signal: AbortSignal;
 }
@@ -32,24 +31,23 @@
   readonly target: string;
 }
 
-/** A turn failed; carries what its program has to be told. */
+/** A failed turn, with the refusal to send to the caller. */
 export class TurnFailure extends Error {
   readonly refusal: Refusal;
-  /** Targets that may have worked on it. */
-  readonly holders: readonly string[];
+  /** Targets that the request may have reached, including the failed ones. */
+  readonly reachedTargets: readonly string[];
 
-  constructor(refusal: Refusal, holders: readonly string[]) {
+  constructor(refusal: Refusal, reachedTargets: readonly string[]) {
     super(refusal.message, { cause: refusal });
     this.refusal = refusal;
-    this.holders = holders;
+    this.reachedTargets = reachedTargets;
   }
 }
 
-/** Targets tried for one turn, at most. */
-const TRY_LIMIT = 3;
+const MAX_ATTEMPTS = 3;
 
-/** The engine refused the request itself. */
-class EngineRefusal extends Error {
+/** The engine rejected the request as invalid; other engines would do the same. */
+class EngineRejection extends Error {
   readonly status: number;
 
   constructor(status: number, text: string) {
@@ -59,57 +57,64 @@
 }
 
 /**
- * Runs a turn at an engine. A turn may be repeated, so a failure is tried again elsewhere, unless
- * a part of the answer has reached the caller: an answer is never put together from two.
+ * Runs a turn on an engine. A failed attempt is retried on another target unless part of the answer
+ * was sent to the caller: one response never combines the output of two attempts.
+ *
+ * @throws {@link TurnFailure} when no attempt succeeded
  */
 export async function runTurn(context: EntryContext, turn: EngineTurn): Promise<EngineResult> {
   const excluded = new Set<string>();
-  const holders: string[] = [];
-  let failure: Refusal = notRun(503, 'no-target', 'no target was tried');
-  for (let count = 1; count <= TRY_LIMIT; count += 1) {
-    const target = tryChoose(context, turn, excluded, count);
-    if (target instanceof Refusal) throw new TurnFailure(count === 1 ? target : failure, holders);
+  const reachedTargets: string[] = [];
+  let failure: Refusal = notRunRefusal(503, 'no-target', 'no target was tried');
+  for (let attemptNumber = 1; attemptNumber <= MAX_ATTEMPTS; attemptNumber += 1) {
+    const target = selectTarget(context, turn, excluded, attemptNumber);
+    if (target instanceof Refusal)
+      throw new TurnFailure(attemptNumber === 1 ? target : failure, reachedTargets);
     const { name } = target.target;
-    const call = buildCall(turn, count);
-    context.directory.callStarted(name);
+    const call = buildCall(turn, attemptNumber);
+    context.directory.recordCallStart(name);
     try {
-      const answer = await context.sidecars.send(target.target, call);
-      holders.push(name);
-      observeLoad(context, name, answer);
-      return { answer: await readAnswer(turn, answer), target: name };
+      const response = await context.sidecars.send(target.target, call);
+      reachedTargets.push(name);
+      observeLoad(context, name, response);
+      return { answer: await readResponse(turn, response), target: name };
     } catch (error) {
-      if (!(error instanceof CallError && error.notRun) && !holders.includes(name))
-        holders.push(name);
-      failure = describeFailure(error, turn.signal, holders.length > 0);
+      if (!(error instanceof CallError && error.notRun) && !reachedTargets.includes(name))
+        reachedTargets.push(name);
+      failure = toTurnRefusal(error, turn.signal, reachedTargets.length > 0);
       context.logger.warn({
         event: 'turn-failed',
         program: turn.program,
         target: name,
         error: messageOf(error),
       });
-      if (error instanceof EngineRefusal || turn.signal.aborted || turn.stream?.begun === true)
+      if (
+        error instanceof EngineRejection ||
+        turn.signal.aborted ||
+        turn.stream?.hasStarted === true
+      )
         break;
       excluded.add(name);
-      context.directory.setAside(name);
+      context.directory.startCooldown(name);
     } finally {
-      context.directory.callEnded(name);
+      context.directory.recordCallEnd(name);
     }
   }
-  throw new TurnFailure(failure, holders);
+  throw new TurnFailure(failure, reachedTargets);
 }
 
-function tryChoose(
+function selectTarget(
   context: EntryContext,
   turn: EngineTurn,
   excluded: ReadonlySet<string>,
-  count: number,
+  attemptNumber: number,
 ) {
   try {
     return chooseTarget(context, turn.configuration, turn.service, {
       program: turn.program,
       service: turn.service.name,
       sequence: turn.run.sequence,
-      try: count,
+      attemptNumber,
       lastTarget: turn.run.lastTarget ?? undefined,
       contextTokens: turn.run.contextTokens,
       newTokens: turn.newTokens,
@@ -121,7 +126,7 @@
   }
 }
 
-function buildCall(turn: EngineTurn, count: number): TargetCall {
+function buildCall(turn: EngineTurn, attemptNumber: number): TargetCall {
   const body = {
     ...turn.request,
     model: turn.service.model,
@@ -136,46 +141,46 @@
     path: '/v1/chat/completions',
     headers: { 'content-type': 'application/json' },
     body: Buffer.from(JSON.stringify(body)),
-    attempt: `${turn.attempt}.${count}`,
+    attempt: `${turn.attempt}.${attemptNumber}`,
     program: turn.program,
     claim: undefined,
     signal: turn.signal,
   };
 }
 
-function observeLoad(context: EntryContext, target: string, answer: TargetAnswer): void {
-  const load = parseLoad(answer.headers[HEADERS.load] as string | undefined);
+function observeLoad(context: EntryContext, target: string, response: TargetResponse): void {
+  const load = parseLoad(response.headers[HEADERS.load] as string | undefined);
   if (load !== undefined) context.directory.observeLoad(target, load);
 }
 
-/** A request that every engine would refuse; 408 and 429 tell of this engine's state only. */
-function isCallersFault(status: number): boolean {
+/** Client errors, except 408 and 429, which depend on the state of the engine. */
+function isNonRetryableStatus(status: number): boolean {
   return status >= 400 && status < 500 && status !== 408 && status !== 429;
 }
 
-async function readAnswer(turn: EngineTurn, answer: TargetAnswer): Promise<TurnAnswer> {
-  if (answer.status !== 200) {
-    const text = (await answer.body.text()).slice(0, 1000);
-    if (isCallersFault(answer.status)) throw new EngineRefusal(answer.status, text);
-    throw new CallError(`the engine answered ${answer.status}: ${text}`, false);
+async function readResponse(turn: EngineTurn, response: TargetResponse): Promise<TurnAnswer> {
+  if (response.status !== 200) {
+    const text = (await response.body.text()).slice(0, 1000);
+    if (isNonRetryableStatus(response.status)) throw new EngineRejection(response.status, text);
+    throw new CallError(`the engine answered ${response.status}: ${text}`, false);
   }
   const builder = new AnswerBuilder();
   const parser = createParser({
     onEvent: (event) => {
-      takeEvent(turn, builder, event.data);
+      processEvent(turn, builder, event.data);
     },
   });
   const decoder = new TextDecoder();
-  for await (const bytes of answer.body as AsyncIterable<Buffer>) {
+  for await (const bytes of response.body as AsyncIterable<Buffer>) {
     parser.feed(decoder.decode(bytes, { stream: true }));
   }
-  const whole = builder.build();
-  if (whole === undefined) throw new CallError('the stream ended before the answer did', false);
-  return whole;
+  const answer = builder.build();
+  if (answer === undefined) throw new CallError('the stream ended before the answer did', false);
+  return answer;
 }
 
-/** Keeps an event, and forwards it unless it is the end: that one waits until all is stored. */
-function takeEvent(turn: EngineTurn, builder: AnswerBuilder, data: string): void {
+/** Adds an event to the answer and forwards it, without the finish reason: see {@link ChatStream}. */
+function processEvent(turn: EngineTurn, builder: AnswerBuilder, data: string): void {
   if (data === '[DONE]') return;
   const chunk = chatChunkSchema.parse(JSON.parse(data));
   builder.add(chunk);
@@ -184,14 +189,14 @@
   if (choice.finish_reason == null) {
     turn.stream?.forward(data);
   } else if (choice.delta.content || choice.delta.tool_calls) {
-    const open = { ...chunk, choices: [{ ...choice, finish_reason: null }] };
-    turn.stream?.forward(JSON.stringify(open));
+    const unfinished = { ...chunk, choices: [{ ...choice, finish_reason: null }] };
+    turn.stream?.forward(JSON.stringify(unfinished));
   }
 }
 
-function describeFailure(error: unknown, signal: AbortSignal, mayHaveRun: boolean): Refusal {
+function toTurnRefusal(error: unknown, signal: AbortSignal, mayHaveRun: boolean): Refusal {
   const outcome = mayHaveRun ? 'unknown' : 'not-run';
-  if (error instanceof EngineRefusal) {
+  if (error instanceof EngineRejection) {
     const message = `the engine answered ${error.status}: ${error.message}`;
     return new Refusal({
       status: error.status,
--- a/src/entry/pass-through.ts
+++ b/src/entry/pass-through.ts
@@ -4,18 +4,18 @@
 import type { Service } from '../configuration';
 import { formatAddress, messageOf } from '../core';
 import type { EntryContext } from './context';
-import { Refusal, notRun } from './refusal';
+import { Refusal, notRunRefusal } from './refusal';
 
-/** A request for a service that has not moved to martenbay. */
+/** A request for a service that martenbay does not manage yet. */
 export interface PassThroughRequest {
   readonly incoming: IncomingMessage;
   readonly response: ServerResponse;
   readonly body: Buffer;
-  /** Path and query at the old address. */
+  /** Path and query to request at the service's `old-address`. */
   readonly path: string;
 }
 
-/** Headers of one connection, which are not sent on. */
+/** Headers that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1). */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -28,18 +28,18 @@
   'expect',
 ]);
 
-/** Removes the headers that belong to one connection. */
+/** Removes the headers that apply to a single connection only. */
 export function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[]> {
-  const kept = Object.entries(headers).filter(
+  const forwarded = Object.entries(headers).filter(
     (entry): entry is [string, string | string[]] =>
       entry[1] !== undefined && !CONNECTION_HEADERS.has(entry[0]),
   );
-  return Object.fromEntries(kept);
+  return Object.fromEntries(forwarded);
 }
 
-/** Sends a request on to the service's old address and its answer back, untouched. */
+/** Proxies a request to the service's `old-address` without recording it. */
 export async function passThrough(
   context: EntryContext,
   service: Service,
@@ -47,7 +47,7 @@
 ): Promise<void> {
   const address = service['old-address'];
   if (service.adoption === 'not-ours' || address === undefined) {
-    throw notRun(404, 'not-ours', `service "${service.name}" is not served here`);
+    throw notRunRefusal(404, 'not-ours', `service "${service.name}" is not served here`);
   }
   const { incoming, response, body, path } = exchange;
   context.logger.info({
@@ -59,22 +59,22 @@
     reason: 'pass-through',
   });
   try {
-    const answer = await request(`http://${formatAddress(address)}${path}`, {
+    const upstream = await request(`http://${formatAddress(address)}${path}`, {
       method: incoming.method ?? 'GET',
       headers: endToEndHeaders(incoming.headers),
       body: body.length === 0 ? null : body,
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    response.writeHead(answer.statusCode, endToEndHeaders(answer.headers));
-    await pipeline(answer.body, response);
+    response.writeHead(upstream.statusCode, endToEndHeaders(upstream.headers));
+    await pipeline(upstream.body, response);
   } catch (error) {
-    const refused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
+    const connectionRefused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
     throw new Refusal({
       status: 502,
       code: 'target-failed',
       message: `the old address of "${service.name}" gave no answer: ${messageOf(error)}`,
-      outcome: refused ? 'not-run' : 'unknown',
+      outcome: connectionRefused ? 'not-run' : 'unknown',
       cause: error,
     });
   }
--- a/src/entry/process.ts
+++ b/src/entry/process.ts
@@ -12,7 +12,7 @@
 import { type EntrySettings, programGroups } from '../settings';
 import type { EntryContext } from './context';
 import { TargetDirectory } from './directory';
-import { ProgramIds } from './program-ids';
+import { ProgramIdGenerator } from './program-ids';
 import { EntryServer } from './server';
 import { SidecarClient } from './sidecar-client';
 
@@ -23,7 +23,7 @@
   readonly logger: Logger;
 }
 
-/** Wires up one entry; the life cycle that is returned starts and stops it. */
+/** Creates the components of an entry process; the returned life cycle starts and stops them. */
 export function createEntryProcess(options: EntryProcessOptions): LifeCycle {
   const { settings, clock, random, logger } = options;
   const { host, cluster, entry } = settings;
@@ -34,7 +34,7 @@
   const directory = new TargetDirectory(host['availability-zone'], clock);
   const control = new ControlClient({ members: cluster.control, credential, clock });
   const sidecars = new SidecarClient(credential);
-  let stopping = false;
+  let draining = false;
   const context: EntryContext = {
     identity: `${host.name}/${incarnation}`,
     settings: entry,
@@ -42,7 +42,7 @@
     control,
     directory,
     sidecars,
-    programIds: new ProgramIds({
+    programIds: new ProgramIdGenerator({
       groups: programGroups(cluster),
       availabilityZone: host['availability-zone'],
       random,
@@ -52,13 +52,13 @@
     random,
     logger,
     metrics,
-    isStopping: () => stopping,
+    isDraining: () => draining,
   };
   const onChanges = (changes: WatchChanges) => {
     if (changes.directory !== undefined) directory.update(changes.directory);
-    adoptChanges(configuration, changes, presence, logger);
+    adoptChanges(configuration, changes, controlSession, logger);
   };
-  const presence = new Presence({
+  const controlSession = new Presence({
     client: control,
     clock,
     logger,
@@ -67,7 +67,7 @@
       kind: 'entry',
       name: host.name,
       incarnation,
-      state: stopping ? 'leaving' : 'serving',
+      state: draining ? 'leaving' : 'serving',
       configurationNumber: configuration.number,
     }),
     position: () => ({
@@ -89,11 +89,11 @@
   const lifeCycle = new LifeCycle();
   lifeCycle.add('control-client', control);
   lifeCycle.add('sidecar-client', sidecars);
-  lifeCycle.add('presence', presence);
+  lifeCycle.add('presence', controlSession);
   lifeCycle.add('listener', listener);
   lifeCycle.add('drain', {
     stop: async () => {
-      stopping = true;
+      draining = true;
       await server.drain();
     },
   });
--- a/src/entry/program-ids.ts
+++ b/src/entry/program-ids.ts
@@ -2,69 +2,69 @@
 import { type RandomSource, digestValue } from '../core';
 import type { ProgramGroup } from '../settings';
 import { groupOfProgram, programIdOf } from '../state';
-import { notRun } from './refusal';
+import { notRunRefusal } from './refusal';
 
-export interface ProgramIdsOptions {
-  /** The groups of all regions. */
+export interface ProgramIdGeneratorOptions {
+  /** Program groups of all regions. */
   readonly groups: readonly ProgramGroup[];
-  /** This entry's own availability zone. */
+  /** Availability zone of this entry. */
   readonly availabilityZone: string;
   readonly random: RandomSource;
 }
 
-/** Bytes of the unique part of an id, and the length of that part as text. */
 const UNIQUE_BYTES = 12;
+/** Length of the unique part in hexadecimal digits. */
 const UNIQUE_LENGTH = UNIQUE_BYTES * 2;
 
-/** Gives out the ids of programs, each with the group that is to hold the program. */
-export class ProgramIds {
-  readonly #options: ProgramIdsOptions;
+/** Generates program ids; each names the group that stores the program. */
+export class ProgramIdGenerator {
+  readonly #options: ProgramIdGeneratorOptions;
 
-  constructor(options: ProgramIdsOptions) {
+  constructor(options: ProgramIdGeneratorOptions) {
     this.#options = options;
   }
 
-  /** A new id, in some group of this entry's own region. */
+  /** Generates an id in a random group of this entry's region, or of any region if it has none. */
   create(configuration: Configuration): string {
     const { groups, availabilityZone, random } = this.#options;
     const region = configuration.availabilityZones.find(
       (zone) => zone.name === availabilityZone,
     )?.region;
-    const near = groups.filter((group) => group.region === region);
-    const candidates = near.length > 0 ? near : groups;
+    const local = groups.filter((group) => group.region === region);
+    const candidates = local.length > 0 ? local : groups;
     const group = candidates[Math.floor(random.fraction() * candidates.length)];
     return programIdOf(random.hex(UNIQUE_BYTES), group?.name ?? '');
   }
 
-  /** A new id for a sub-agent, whose parent's group holds the budget of both. */
+  /** Generates an id for a child program, in its parent's group, which holds their shared budget. */
   createChild(parent: string): string {
-    return programIdOf(this.#options.random.hex(UNIQUE_BYTES), groupOf(parent));
+    return programIdOf(this.#options.random.hex(UNIQUE_BYTES), requireGroup(parent));
   }
 
   /**
-   * The id that stands for a caller's key: the same one at every entry of every region, so that a
-   * resend finds the program wherever it arrives.
+   * Derives an id from an idempotency key. Every entry of every region derives the same id, so a
+   * repeated request finds the program at any entry.
    */
-  fromKey(parts: readonly string[]): string {
+  deriveFromKey(keyParts: readonly string[]): string {
     const { groups } = this.#options;
-    const digest = digestValue(parts);
+    const digest = digestValue(keyParts);
     const group = groups[Number.parseInt(digest.slice(-8), 16) % groups.length];
     return programIdOf(digest.slice(0, UNIQUE_LENGTH), group?.name ?? '');
   }
 
-  /** The same for a sub-agent, in its parent's group. */
-  childFromKey(parent: string, parts: readonly string[]): string {
-    return programIdOf(digestValue(parts).slice(0, UNIQUE_LENGTH), groupOf(parent));
+  /** Derives an id for a child program from an idempotency key, in its parent's group. */
+  deriveChildFromKey(parent: string, keyParts: readonly string[]): string {
+    return programIdOf(digestValue(keyParts).slice(0, UNIQUE_LENGTH), requireGroup(parent));
   }
 }
 
 /**
- * The group that holds a program.
+ * The group that stores a program.
  *
- * @throws a refusal for an id that was never given out
+ * @throws a refusal `unknown-program` when the id is malformed
  */
-export function groupOf(program: string): string {
+export function requireGroup(program: string): string {
   const group = groupOfProgram(program);
   if (group !== undefined) return group;
-  throw notRun(404, 'unknown-program', `no program "${program}"`);
+  throw notRunRefusal(404, 'unknown-program', `no program "${program}"`);
 }
--- a/src/entry/programs.ts
+++ b/src/entry/programs.ts
@@ -2,28 +2,28 @@
 import * as z from 'zod';
 import type { Team } from '../configuration';
 import { type ProgramView, groupOfProgram } from '../state';
-import { type EntryContext, askControl, configurationOf } from './context';
-import { groupOf } from './program-ids';
-import { Refusal, notRun } from './refusal';
+import { type EntryContext, callControl, requireConfiguration } from './context';
+import { requireGroup } from './program-ids';
+import { Refusal, notRunRefusal } from './refusal';
 import { authenticate, parseCallHeaders, parseJson, readBody } from './request';
 import { statusOf } from './step';
 
-const createSchema = z.strictObject({
+const createRequestSchema = z.strictObject({
   kind: z.string().min(1).optional(),
-  /** Program whose sub-agent this one is. */
+  /** Id of the parent program; the new one is its child and shares its budget. */
   parent: z.string().min(1).optional(),
 });
 
-const PREFIX = '/v1/programs';
+const PATH_PREFIX = '/v1/programs';
 
-/** Answers `POST /v1/programs`, `GET` and `DELETE /v1/programs/{id}`. */
+/** Handles `POST /v1/programs`, `GET` and `DELETE /v1/programs/{id}`. */
 export async function handlePrograms(
   context: EntryContext,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const team = authenticate(request, configurationOf(context));
-  const id = decodeId((request.url ?? '').slice(PREFIX.length + 1));
+  const team = authenticate(request, requireConfiguration(context));
+  const id = decodeId((request.url ?? '').slice(PATH_PREFIX.length + 1));
   if (request.method === 'POST' && id === '') {
     sendProgram(response, 201, await createProgram(context, team, request));
   } else if (request.method === 'GET' && id !== '') {
@@ -31,7 +31,11 @@
   } else if (request.method === 'DELETE' && id !== '') {
     sendProgram(response, 200, await endProgram(context, team, id));
   } else {
-    throw notRun(404, 'not-found', `no such path; programs are at ${PREFIX} and ${PREFIX}/{id}`);
+    throw notRunRefusal(
+      404,
+      'not-found',
+      `no such path; programs are at ${PATH_PREFIX} and ${PATH_PREFIX}/{id}`,
+    );
   }
 }
 
@@ -39,7 +43,7 @@
   try {
     return decodeURIComponent(text);
   } catch {
-    throw notRun(400, 'bad-request', 'the program id is not properly encoded');
+    throw notRunRefusal(400, 'bad-request', 'the program id is not properly encoded');
   }
 }
 
@@ -54,52 +58,52 @@
     context.settings['default-deadline-milliseconds'],
   );
   const body = await readBody(request, context.settings['body-limit-bytes']);
-  const { kind, parent } = parseJson(createSchema, body);
+  const { kind, parent } = parseJson(createRequestSchema, body);
   const input = {
-    id: chooseId(context, team, parent, headers.idempotencyKey),
+    id: chooseProgramId(context, team, parent, headers.idempotencyKey),
     team: team.name,
     configurationNumber: context.configuration.number,
     ...(kind === undefined ? {} : { kind }),
     ...(parent === undefined ? {} : { parent }),
   };
-  const outcome = await askControl('unknown', () =>
+  const outcome = await callControl('unknown', () =>
     context.control.call(
       (connection, signal) => connection.programs.create.mutate(input, { signal }),
-      { group: groupOf(input.id) },
+      { group: requireGroup(input.id) },
     ),
   );
   if (outcome.outcome === 'created') return outcome.program;
   throw refusalOf(outcome);
 }
 
-function chooseId(
+function chooseProgramId(
   context: EntryContext,
   team: Team,
   parent: string | undefined,
   key: string | undefined,
 ): string {
   const { programIds } = context;
-  const parts = [team.name, 'program', key ?? ''];
+  const keyParts = [team.name, 'program', key ?? ''];
   if (parent === undefined) {
     return key === undefined
-      ? programIds.create(configurationOf(context))
-      : programIds.fromKey(parts);
+      ? programIds.create(requireConfiguration(context))
+      : programIds.deriveFromKey(keyParts);
   }
-  groupOfParent(parent);
+  requireParentGroup(parent);
   return key === undefined
     ? programIds.createChild(parent)
-    : programIds.childFromKey(parent, parts);
+    : programIds.deriveChildFromKey(parent, keyParts);
 }
 
-function groupOfParent(parent: string): string {
+function requireParentGroup(parent: string): string {
   const group = groupOfProgram(parent);
   if (group !== undefined) return group;
-  throw notRun(404, 'unknown-parent', `no program "${parent}"`);
+  throw notRunRefusal(404, 'unknown-parent', `no program "${parent}"`);
 }
 
 async function getProgram(context: EntryContext, team: Team, id: string): Promise<ProgramView> {
-  const group = groupOf(id);
-  const outcome = await askControl('not-run', () =>
+  const group = requireGroup(id);
+  const outcome = await callControl('not-run', () =>
     context.control.call(
       (connection, signal) =>
         connection.programs.get.query({ program: id, team: team.name }, { signal }),
@@ -112,8 +116,8 @@
 
 async function endProgram(context: EntryContext, team: Team, id: string): Promise<ProgramView> {
   const end = { program: id, reason: 'deleted' } as const;
-  const group = groupOf(id);
-  const outcome = await askControl('unknown', () =>
+  const group = requireGroup(id);
+  const outcome = await callControl('unknown', () =>
     context.control.call(
       (connection, signal) => connection.programs.end.mutate({ end, team: team.name }, { signal }),
       { group },
--- a/src/entry/refusal.ts
+++ b/src/entry/refusal.ts
@@ -2,8 +2,8 @@
 import { MartenbayError } from '../core';
 import { HEADERS, type RunOutcome } from '../protocol';
 
-/** Codes of the refusals that an entry makes by itself; the state's are in `outcomes.ts`. */
-export type RefusalReason =
+/** Codes of refusals issued by the entry itself; those of the state are in `outcomes.ts`. */
+export type RefusalCode =
   | 'bad-request'
   | 'unauthorized'
   | 'not-found'
@@ -28,12 +28,12 @@
   readonly code: string;
   readonly message: string;
   readonly outcome: RunOutcome;
-  /** Sent as Retry-After; always present with 429 and 503. */
+  /** Value of the `Retry-After` header; 1 by default for status 429 and 503. */
   readonly retryAfterSeconds?: number;
   readonly cause?: unknown;
 }
 
-/** A request that gets no answer; the caller learns why, and whether it ran. */
+/** An error response: why the request failed, and whether it ran. */
 export class Refusal extends MartenbayError {
   readonly status: number;
   readonly code: string;
@@ -49,7 +49,7 @@
     this.retryAfterSeconds = options.retryAfterSeconds ?? defaultRetryAfter(options.status);
   }
 
-  /** The JSON body; its shape is that of the OpenAI API's errors, with `outcome` added. */
+  /** The JSON body: an OpenAI API error object with an additional `outcome`. */
   toBody(): RefusalBody {
     const { code, message, outcome } = this;
     return { error: { message, type: 'martenbay_refusal', code, outcome } };
@@ -69,23 +69,22 @@
   return status === 429 || status === 503 ? 1 : undefined;
 }
 
-/** Builds a refusal of a request that did not run. */
-export function notRun(status: number, code: RefusalReason, message: string): Refusal {
+export function notRunRefusal(status: number, code: RefusalCode, message: string): Refusal {
   return new Refusal({ status, code, message, outcome: 'not-run' });
 }
 
-/** Turns anything thrown into a refusal; what isn't one already may have run. */
+/** Converts a thrown value; anything but a refusal becomes status 500 with outcome `unknown`. */
 export function toRefusal(error: unknown): Refusal {
   if (error instanceof Refusal) return error;
   const message = 'an internal error; the log of this entry has the cause';
   return new Refusal({ status: 500, code: 'internal', message, outcome: 'unknown', cause: error });
 }
 
-/** Sends a refusal, as an event if the answer is a stream that has begun. */
+/** Sends a refusal: as an event in a stream that has started, else as a JSON response. */
 export function sendRefusal(response: ServerResponse, refusal: Refusal): void {
   if (response.headersSent) {
-    const streamed = String(response.getHeader('content-type') ?? '').includes('event-stream');
-    if (streamed) response.end(`data: ${JSON.stringify(refusal.toBody())}\n\n`);
+    const isEventStream = String(response.getHeader('content-type') ?? '').includes('event-stream');
+    if (isEventStream) response.end(`data: ${JSON.stringify(refusal.toBody())}\n\n`);
     else response.destroy();
     return;
   }
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -2,31 +2,31 @@
 import { InFlight, messageOf } from '../core';
 import { answerHealth } from '../protocol';
 import { handleChat } from './chat';
-import { type EntryContext, configurationOf } from './context';
+import { type EntryContext, requireConfiguration } from './context';
 import { handlePrograms } from './programs';
-import { notRun, sendRefusal, toRefusal } from './refusal';
+import { notRunRefusal, sendRefusal, toRefusal } from './refusal';
 import { authenticate } from './request';
 import { handleService } from './service';
 
-/** Takes callers' requests, and tells when the last of them is answered. */
+/** Dispatches HTTP requests to their handlers and counts those in flight. */
 export class EntryServer {
   readonly #context: EntryContext;
   readonly #inFlight = new InFlight();
-  #stopping = false;
+  #draining = false;
 
   constructor(context: EntryContext) {
     this.#context = context;
   }
 
-  /** Requests that are not answered yet. */
+  /** Requests in flight. */
   get running(): number {
     return this.#inFlight.count;
   }
 
   readonly handle = (request: IncomingMessage, response: ServerResponse): void => {
     if (answerHealth(this, request, response)) return;
-    if (this.#stopping) response.setHeader('connection', 'close');
-    this.#inFlight.track(this.#answer(request, response));
+    if (this.#draining) response.setHeader('connection', 'close');
+    this.#inFlight.track(this.#respond(request, response));
   };
 
   get metrics() {
@@ -34,19 +34,19 @@
   }
 
   readonly notReady = (): string | undefined => {
-    if (this.#stopping) return 'shutting down';
+    if (this.#draining) return 'shutting down';
     return this.#context.configuration.current === undefined ? 'no configuration' : undefined;
   };
 
-  /** Turns the balancer away, and resolves once the requests under way are answered. */
+  /** Makes `/readyz` fail and closes connections after use; resolves once no request is in flight. */
   drain(): Promise<void> {
-    this.#stopping = true;
+    this.#draining = true;
     return this.#inFlight.idle();
   }
 
-  async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #respond(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { metrics, clock, logger } = this.#context;
-    const started = clock.monotonic();
+    const startedAt = clock.monotonic();
     try {
       await this.#dispatch(request, response);
       metrics.count('requests_total{outcome="answered"}');
@@ -57,7 +57,7 @@
       logger.warn({ event: 'refusal', code: refusal.code, outcome: refusal.outcome, cause });
       sendRefusal(response, refusal);
     }
-    metrics.observe('request', clock.monotonic() - started);
+    metrics.observe('request', clock.monotonic() - startedAt);
   }
 
   async #dispatch(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -71,12 +71,12 @@
     } else if (request.method === 'GET' && path === '/v1/models') {
       this.#listModels(request, response);
     } else {
-      throw notRun(404, 'not-found', `no such path: ${path.slice(0, 200)}`);
+      throw notRunRefusal(404, 'not-found', `no such path: ${path.slice(0, 200)}`);
     }
   }
 
   #listModels(request: IncomingMessage, response: ServerResponse): void {
-    const configuration = configurationOf(this.#context);
+    const configuration = requireConfiguration(this.#context);
     authenticate(request, configuration);
     const data = configuration.services
       .filter((service) => service.type === 'engine' && service.adoption !== 'not-ours')
--- a/src/entry/service-call.ts
+++ b/src/entry/service-call.ts
@@ -3,11 +3,11 @@
 import { HEADERS, parseLoad } from '../protocol';
 import type { CallAnswer } from '../state';
 import type { EntryContext } from './context';
-import type { KnownTarget } from './directory';
+import type { AvailableTarget } from './directory';
 import type { CallHeaders } from './request';
-import { CallError, type TargetAnswer } from './sidecar-client';
+import { CallError, type TargetResponse } from './sidecar-client';
 
-/** One call of a plain service. */
+/** A parsed and authenticated call to a plain service. */
 export interface ServiceCall {
   readonly configuration: Configuration;
   readonly team: Team;
@@ -15,61 +15,61 @@
   readonly headers: CallHeaders;
   readonly method: string;
   readonly path: string;
-  readonly forwarded: Readonly<Record<string, string | string[]>>;
+  readonly forwardedHeaders: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
   readonly program: string;
-  readonly alone: boolean;
+  /** The call names no program: it runs as a program of one step, which ends with it. */
+  readonly isStandalone: boolean;
   readonly repeatable: boolean;
 }
 
-/** Largest answer that is kept with its program, in bytes. */
-const ANSWER_LIMIT_BYTES = 1024 * 1024;
+const RESPONSE_LIMIT_BYTES = 1024 * 1024;
 
-/** One attempt to send a call. */
-export interface Sending {
-  readonly target: KnownTarget;
+export interface ServiceAttempt {
+  readonly target: AvailableTarget;
   readonly attempt: string;
+  /** Whether the call is non-repeatable and recorded with its target. */
   readonly claimed: boolean;
   readonly signal: AbortSignal;
 }
 
-/** Sends a call to the sidecar of a target and reads the whole answer. */
-export async function sendTo(
+/** Sends a call to the sidecar of a target and reads the complete response. */
+export async function sendCall(
   context: EntryContext,
   call: ServiceCall,
-  sending: Sending,
+  serviceAttempt: ServiceAttempt,
 ): Promise<CallAnswer> {
-  const { target, attempt, claimed, signal } = sending;
+  const { target, attempt, claimed, signal } = serviceAttempt;
   const { name } = target.target;
-  context.directory.callStarted(name);
+  context.directory.recordCallStart(name);
   try {
-    const answer = await context.sidecars.send(target.target, {
+    const response = await context.sidecars.send(target.target, {
       method: call.method,
       path: call.path,
-      headers: call.forwarded,
+      headers: call.forwardedHeaders,
       body: call.body,
       attempt,
       program: call.program,
       claim: claimed ? target.incarnation : undefined,
       signal,
     });
-    const load = parseLoad(answer.headers[HEADERS.load] as string | undefined);
+    const load = parseLoad(response.headers[HEADERS.load] as string | undefined);
     if (load !== undefined) context.directory.observeLoad(name, load);
-    return await readWhole(answer);
+    return await readCompleteResponse(response);
   } catch (error) {
-    context.directory.setAside(name);
+    context.directory.startCooldown(name);
     if (error instanceof CallError) throw error;
     throw new CallError(`${name} broke off its answer: ${messageOf(error)}`, false, error);
   } finally {
-    context.directory.callEnded(name);
+    context.directory.recordCallEnd(name);
   }
 }
 
-async function readWhole(answer: TargetAnswer): Promise<CallAnswer> {
-  const body = Buffer.from(await answer.body.arrayBuffer());
-  if (body.length > ANSWER_LIMIT_BYTES) {
-    throw new CallError(`the answer is larger than ${ANSWER_LIMIT_BYTES} bytes`, false);
+async function readCompleteResponse(response: TargetResponse): Promise<CallAnswer> {
+  const body = Buffer.from(await response.body.arrayBuffer());
+  if (body.length > RESPONSE_LIMIT_BYTES) {
+    throw new CallError(`the answer is larger than ${RESPONSE_LIMIT_BYTES} bytes`, false);
   }
-  const contentType = answer.headers['content-type'] ?? 'application/octet-stream';
-  return { kind: 'call', status: answer.status, contentType, body: body.toString('base64') };
+  const contentType = response.headers['content-type'] ?? 'application/octet-stream';
+  return { kind: 'call', status: response.status, contentType, body: body.toString('base64') };
 }
--- a/src/entry/service-path.ts
+++ b/src/entry/service-path.ts
@@ -1,47 +1,52 @@
 import type { Service } from '../configuration';
-import { notRun } from './refusal';
+import { notRunRefusal } from './refusal';
 
-/** Where a request below `/services/` goes. */
 export interface ServicePath {
   readonly service: string;
-  /** Path and query at the service. */
+  /** Path and query to request at the service. */
   readonly path: string;
 }
 
-const PREFIX = '/services/';
+const PATH_PREFIX = '/services/';
 
-/** Encoded separators, dots and backslashes could mean another path; so could other characters. */
-const SUSPICIOUS = /%2f|%5c|%2e|%00|%0a|%0d|[^!-~]|\\/i;
+/** Characters that servers decode or normalize in different ways. */
+const AMBIGUOUS_CHARACTERS = /%2f|%5c|%2e|%00|%0a|%0d|[^!-~]|\\/i;
 
-/** Splits `/services/{service}/{path}`; a path that could be read in two ways is refused. */
+/** Splits `/services/{service}/{path}`; throws a refusal with status 400 for an ambiguous path. */
 export function parseServicePath(url: string): ServicePath {
-  const query = url.indexOf('?');
-  const path = query < 0 ? url : url.slice(0, query);
-  const segments = path.slice(PREFIX.length).split('/');
+  const queryIndex = url.indexOf('?');
+  const path = queryIndex < 0 ? url : url.slice(0, queryIndex);
+  const segments = path.slice(PATH_PREFIX.length).split('/');
   const [service = '', ...rest] = segments;
-  const odd = rest.slice(0, -1).includes('') || rest.includes('..') || rest.includes('.');
-  if (service === '' || odd || SUSPICIOUS.test(path) || url.includes('#')) {
-    throw notRun(
+  const hasAmbiguousSegment =
+    rest.slice(0, -1).includes('') || rest.includes('..') || rest.includes('.');
+  if (
+    service === '' ||
+    hasAmbiguousSegment ||
+    AMBIGUOUS_CHARACTERS.test(path) ||
+    url.includes('#')
+  ) {
+    throw notRunRefusal(
       400,
       'bad-request',
       `the path "${path.slice(0, 200)}" is not a plain service path`,
     );
   }
-  const search = query < 0 ? '' : url.slice(query);
+  const search = queryIndex < 0 ? '' : url.slice(queryIndex);
   return { service, path: `/${rest.join('/')}${search}` };
 }
 
-/** Whether a call to a service may be made again when nobody knows whether it ran. */
+/** Whether a call may be sent again when it is unknown whether it ran. */
 export function isRepeatable(service: Service, method: string, path: string): boolean {
   return !service['not-repeatable'].some(
     (rule) =>
       rule.method === method &&
       (path === rule.path ||
-        path.startsWith(withSlash(rule.path)) ||
+        path.startsWith(withTrailingSlash(rule.path)) ||
         path.startsWith(`${rule.path}?`)),
   );
 }
 
-function withSlash(path: string): string {
+function withTrailingSlash(path: string): string {
   return path.endsWith('/') ? path : `${path}/`;
 }
--- a/src/entry/service.ts
+++ b/src/entry/service.ts
@@ -2,31 +2,31 @@
 import type { Service, Team } from '../configuration';
 import { digestText, digestValue, messageOf } from '../core';
 import type { BeginStep, CallAnswer } from '../state';
-import { type EntryContext, configurationOf, startDeadline } from './context';
+import { type EntryContext, requireConfiguration, startDeadline } from './context';
 import { endToEndHeaders, passThrough } from './pass-through';
-import { groupOf } from './program-ids';
-import { Refusal, notRun } from './refusal';
+import { requireGroup } from './program-ids';
+import { Refusal, notRunRefusal } from './refusal';
 import { type CallHeaders, authenticate, parseCallHeaders, readBody } from './request';
 import { chooseTarget } from './route';
 import { isRepeatable, parseServicePath } from './service-path';
-import { type ServiceCall, sendTo } from './service-call';
+import { type ServiceCall, sendCall } from './service-call';
 import { CallError } from './sidecar-client';
-import { abandonStep, beginStep, completeStep, createInput } from './step';
+import { abandonStep, beginStep, completeStep, createProgramInput } from './step';
 
-const TRY_LIMIT = 3;
+const MAX_ATTEMPTS = 3;
 
-/** Answers `/services/{service}/...`. */
+/** Handles `/services/{service}/...`. */
 export async function handleService(
   context: EntryContext,
   incoming: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const configuration = configurationOf(context);
+  const configuration = requireConfiguration(context);
   const team = authenticate(incoming, configuration);
   const { service: name, path } = parseServicePath(incoming.url ?? '');
   const service = configuration.services.find((entry) => entry.name === name);
   if (service?.type !== 'plain') {
-    throw notRun(404, 'not-found', `no plain service "${name}"`);
+    throw notRunRefusal(404, 'not-found', `no plain service "${name}"`);
   }
   const headers = parseCallHeaders(
     incoming,
@@ -46,10 +46,10 @@
     headers,
     method,
     path,
-    forwarded: forwardedHeaders(incoming),
+    forwardedHeaders: selectForwardedHeaders(incoming),
     body,
-    program: headers.program ?? loneProgram(context, team, service, headers),
-    alone: headers.program === undefined,
+    program: headers.program ?? standaloneProgramId(context, team, service, headers),
+    isStandalone: headers.program === undefined,
     repeatable: isRepeatable(service, method, path),
   });
   const bytes = Buffer.from(answer.body, 'base64');
@@ -61,41 +61,42 @@
     .end(bytes);
 }
 
-/** A call of its own is a program of one step; with a key, a resend finds the same program. */
-function loneProgram(
+/** The program of a standalone call; a repeated request with the same key finds the same one. */
+function standaloneProgramId(
   context: EntryContext,
   team: Team,
   service: Service,
   headers: CallHeaders,
 ): string {
   const { idempotencyKey } = headers;
-  if (idempotencyKey === undefined) return context.programIds.create(configurationOf(context));
-  return context.programIds.fromKey([team.name, service.name, idempotencyKey]);
+  if (idempotencyKey === undefined) return context.programIds.create(requireConfiguration(context));
+  return context.programIds.deriveFromKey([team.name, service.name, idempotencyKey]);
 }
 
-/** The caller's key to martenbay is not the service's business. */
-function forwardedHeaders(incoming: IncomingMessage): Record<string, string | string[]> {
+/** Omits the caller's martenbay key, which services must not receive. */
+function selectForwardedHeaders(incoming: IncomingMessage): Record<string, string | string[]> {
   return endToEndHeaders({ ...incoming.headers, authorization: undefined });
 }
 
 function serveCall(context: EntryContext, call: ServiceCall): Promise<CallAnswer> {
-  const unrecorded = call.repeatable && call.alone && call.headers.idempotencyKey === undefined;
+  const unrecorded =
+    call.repeatable && call.isStandalone && call.headers.idempotencyKey === undefined;
   if (unrecorded) return serveUnrecorded(context, call);
   return serveStep(context, call);
 }
 
-/** A call that may be repeated and belongs to no program needs no record. */
+/** Runs a repeatable call that belongs to no program, without recording it. */
 async function serveUnrecorded(context: EntryContext, call: ServiceCall): Promise<CallAnswer> {
-  checkAllowed(call);
+  checkServiceAllowed(call);
   const { controller, cancel } = startDeadline(context.clock, call.headers.deadline);
   const excluded = new Set<string>();
   let failure: unknown;
   try {
-    for (let count = 1; count <= TRY_LIMIT; count += 1) {
+    for (let attemptNumber = 1; attemptNumber <= MAX_ATTEMPTS; attemptNumber += 1) {
       try {
-        const attempt = `${call.program}.${count}`;
-        const target = choose(context, call, 1, count, excluded);
-        return await sendTo(context, call, {
+        const attempt = `${call.program}.${attemptNumber}`;
+        const target = chooseServiceTarget(context, call, 1, attemptNumber, excluded);
+        return await sendCall(context, call, {
           target,
           attempt,
           claimed: false,
@@ -103,40 +104,40 @@
         });
       } catch (error) {
         if (!(error instanceof CallError))
-          throw failure === undefined ? error : describeFailure(failure, call);
+          throw failure === undefined ? error : toCallRefusal(failure, call);
         failure = error;
         if (controller.signal.aborted) break;
       }
     }
-    throw describeFailure(failure, call);
+    throw toCallRefusal(failure, call);
   } finally {
     cancel();
   }
 }
 
-function checkAllowed(call: ServiceCall): void {
-  const kind = call.configuration.programs.find(
+function checkServiceAllowed(call: ServiceCall): void {
+  const programKind = call.configuration.programs.find(
     (entry) => entry.name === call.team['default-program'],
   );
-  if (kind?.services.includes(call.service.name) === true) return;
+  if (programKind?.services.includes(call.service.name) === true) return;
   const message = `team "${call.team.name}" may not call "${call.service.name}" by default`;
-  throw notRun(403, 'service-not-allowed', message);
+  throw notRunRefusal(403, 'service-not-allowed', message);
 }
 
 type ChosenTarget = ReturnType<typeof chooseTarget>;
 
-function choose(
+function chooseServiceTarget(
   context: EntryContext,
   call: ServiceCall,
   sequence: number,
-  count: number,
+  attemptNumber: number,
   excluded: ReadonlySet<string>,
 ): ChosenTarget {
   return chooseTarget(context, call.configuration, call.service, {
     program: call.program,
     service: call.service.name,
     sequence,
-    try: count,
+    attemptNumber,
     lastTarget: undefined,
     contextTokens: 0,
     newTokens: 0,
@@ -145,37 +146,43 @@
 }
 
 /**
- * Runs a call as a step of its program. A call that may not be repeated is recorded with the
- * target it is claimed at before it is sent, and tried elsewhere only if it provably did not run.
+ * Runs a call as a step of its program. A non-repeatable call is recorded with its target before it
+ * is sent, and retried on another target only if it provably did not run.
  */
 async function serveStep(context: EntryContext, call: ServiceCall): Promise<CallAnswer> {
   const excluded = new Set<string>();
-  for (let count = 1; ; count += 1) {
+  for (let attemptNumber = 1; ; attemptNumber += 1) {
     const attempt = context.random.hex(12);
-    const target = choose(context, call, call.headers.sequence ?? 0, count, excluded);
-    const begun = await beginStep(
+    const target = chooseServiceTarget(
+      context,
+      call,
+      call.headers.sequence ?? 0,
+      attemptNumber,
+      excluded,
+    );
+    const result = await beginStep(
       context,
       buildStep(context, call, attempt, target),
       call.headers.deadline,
     );
-    if (begun.kind === 'replay') return callAnswerOf(begun.answer);
-    const { sequence, programDeadlineAt } = begun.run;
+    if (result.kind === 'replay') return callAnswerOf(result.answer);
+    const { sequence, programDeadlineAt } = result.run;
     const programDeadline = context.clock.monotonic() + programDeadlineAt - context.clock.now();
     const deadline = Math.min(call.headers.deadline, programDeadline);
     const { controller, cancel } = startDeadline(context.clock, deadline);
     const claimed = !call.repeatable;
     try {
-      const sending = { target, attempt, claimed, signal: controller.signal };
-      const answer = await sendTo(context, call, sending);
+      const serviceAttempt = { target, attempt, claimed, signal: controller.signal };
+      const answer = await sendCall(context, call, serviceAttempt);
       return await storeAnswer(context, call, sequence, attempt, target.target.name, answer);
     } catch (error) {
       const mayRetry = error instanceof CallError && (error.notRun || call.repeatable);
-      if (!mayRetry || count === TRY_LIMIT || controller.signal.aborted) {
-        await leaveStep(context, call, sequence, attempt, error);
-        throw describeFailure(error, call);
+      if (!mayRetry || attemptNumber === MAX_ATTEMPTS || controller.signal.aborted) {
+        await closeFailedStep(context, call, sequence, attempt, error);
+        throw toCallRefusal(error, call);
       }
       excluded.add(target.target.name);
-      await abandonStep(context, abandoned(call, sequence, attempt));
+      await abandonStep(context, abandonInput(call, sequence, attempt));
     } finally {
       cancel();
     }
@@ -183,19 +190,19 @@
 }
 
 /**
- * After a failure for good: a step that did not run or may be repeated can be begun again; one
- * whose outcome is open is settled as unknown, so that it never runs again.
+ * Closes a step after its last attempt failed. A step that did not run or is repeatable can begin
+ * again; otherwise its outcome is recorded as unknown, so that it never runs again.
  */
-async function leaveStep(
+async function closeFailedStep(
   context: EntryContext,
   call: ServiceCall,
   sequence: number,
   attempt: string,
   error: unknown,
 ): Promise<void> {
-  const proven = error instanceof CallError && error.notRun;
-  if (proven || call.repeatable) {
-    await abandonStep(context, abandoned(call, sequence, attempt));
+  const provenNotRun = error instanceof CallError && error.notRun;
+  if (provenNotRun || call.repeatable) {
+    await abandonStep(context, abandonInput(call, sequence, attempt));
     return;
   }
   const { program } = call;
@@ -206,14 +213,14 @@
           { program, sequence, attempt, finding: { kind: 'unknown' } },
           { signal },
         ),
-      { group: groupOf(program) },
+      { group: requireGroup(program) },
     )
     .catch((cause: unknown) => {
       context.logger.warn({ event: 'resolve-failed', program, sequence, cause: messageOf(cause) });
     });
 }
 
-function abandoned(call: ServiceCall, sequence: number, attempt: string) {
+function abandonInput(call: ServiceCall, sequence: number, attempt: string) {
   return { program: call.program, sequence, attempt, spent: false, holders: [] };
 }
 
@@ -230,7 +237,9 @@
     team: team.name,
     ...(headers.sequence === undefined ? {} : { sequence: headers.sequence }),
     ...(headers.idempotencyKey === undefined ? {} : { key: headers.idempotencyKey }),
-    ...(call.alone ? { sequence: 1, create: createInput(context, program, team) } : {}),
+    ...(call.isStandalone
+      ? { sequence: 1, create: createProgramInput(context, program, team) }
+      : {}),
     attempt,
     entry: context.identity,
     service: service.name,
@@ -257,25 +266,25 @@
     answer,
     messages: [],
     target,
-    end: call.alone,
+    end: call.isStandalone,
   });
   return callAnswerOf(stored);
 }
 
 function callAnswerOf(answer: { readonly kind: string }): CallAnswer {
   if (answer.kind === 'call') return answer as CallAnswer;
-  throw notRun(409, 'bad-request', 'this sequence was an engine turn');
+  throw notRunRefusal(409, 'bad-request', 'this sequence was an engine turn');
 }
 
-function describeFailure(error: unknown, call: ServiceCall): Refusal {
+function toCallRefusal(error: unknown, call: ServiceCall): Refusal {
   if (error instanceof Refusal) return error;
-  const proven = error instanceof CallError && error.notRun;
+  const provenNotRun = error instanceof CallError && error.notRun;
   const message = `"${call.service.name}" gave no answer: ${messageOf(error)}`;
   return new Refusal({
-    status: proven ? 503 : 502,
-    code: proven ? 'no-target' : 'target-failed',
+    status: provenNotRun ? 503 : 502,
+    code: provenNotRun ? 'no-target' : 'target-failed',
     message,
-    outcome: proven ? 'not-run' : 'unknown',
+    outcome: provenNotRun ? 'not-run' : 'unknown',
     cause: error,
   });
 }
--- a/src/entry/sidecar-client.ts
+++ b/src/entry/sidecar-client.ts
@@ -6,7 +6,7 @@
 import { ATTEMPT_PREFIX, CALL_PREFIX, HEADERS } from '../protocol';
 import { type Claim, answerSchema } from '../state';
 
-/** A call got no answer from a target or its sidecar. */
+/** A target or its sidecar did not answer a call. */
 export class CallError extends MartenbayError {
   /** Whether the call provably did not run. */
   readonly notRun: boolean;
@@ -17,37 +17,36 @@
   }
 }
 
-/** A call on its way to a target. */
 export interface TargetCall {
   readonly method: string;
-  /** Path and query at the target. */
+  /** Path and query to request at the target. */
   readonly path: string;
   readonly headers: Readonly<Record<string, string | readonly string[]>>;
   readonly body: Buffer;
   readonly attempt: string;
-  /** Program whose cache the call builds up. */
+  /** Id of the program that the call belongs to. */
   readonly program: string;
-  /** Sidecar incarnation; present for a call that may not be repeated. */
+  /** Sidecar incarnation; undefined for a repeatable call. */
   readonly claim: string | undefined;
   readonly signal: AbortSignal;
 }
 
-export interface TargetAnswer {
+export interface TargetResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: Dispatcher.ResponseData['body'];
 }
 
-/** Where an attempt stands, as its sidecar tells. */
+/** State of an attempt, as reported by the target's sidecar. */
 const attemptStateSchema = z.discriminatedUnion('state', [
   z.object({ state: z.literal('running') }),
   z.object({ state: z.literal('answered'), answer: answerSchema }),
   z.object({ state: z.literal('unknown') }),
   z.object({ state: z.literal('revoked') }),
 ]);
-export type SettledAttempt = Readonly<z.output<typeof attemptStateSchema>>;
+export type AttemptState = Readonly<z.output<typeof attemptStateSchema>>;
 
-/** Failures to connect: not one byte of the call was sent. */
+/** Connection errors that occur before any byte of the call is sent. */
 const CONNECT_FAILURES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -57,7 +56,6 @@
 
 const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
-/** Sends calls to the sidecars beside the targets. */
 export class SidecarClient implements Component {
   readonly #credential: string;
   readonly #agent = new Agent({
@@ -75,35 +73,35 @@
   }
 
   /**
-   * Sends a call and resolves with the head of the target's answer.
+   * Sends a call; resolves when the status and headers of the response have arrived.
    *
-   * @throws {@link CallError} when the target did not answer
+   * @throws {@link CallError} when the target did not respond or the sidecar refused the call
    */
-  async send(target: Target, call: TargetCall): Promise<TargetAnswer> {
-    const answer = await this.#request(target, call);
-    const outcome = answer.headers[HEADERS.outcome];
+  async send(target: Target, call: TargetCall): Promise<TargetResponse> {
+    const response = await this.#request(target, call);
+    const outcome = response.headers[HEADERS.outcome];
     if (outcome === undefined) {
-      return { status: answer.statusCode, headers: answer.headers, body: answer.body };
+      return { status: response.statusCode, headers: response.headers, body: response.body };
     }
-    const text = await answer.body.text();
+    const text = await response.body.text();
     throw new CallError(`${target.name} refused: ${text.slice(0, 500)}`, outcome === 'not-run');
   }
 
-  /** Revokes an attempt unless it was admitted; tells what became of it. */
+  /** Revokes an attempt that the sidecar has not admitted; resolves with its resulting state. */
   async settle(
     target: Target,
     attempt: string,
     claim: Claim,
     signal: AbortSignal,
-  ): Promise<SettledAttempt> {
+  ): Promise<AttemptState> {
     const path = `${ATTEMPT_PREFIX}/${encodeURIComponent(attempt)}`;
-    const answer = await request(`http://${formatAddress(target.address)}${path}`, {
+    const response = await request(`http://${formatAddress(target.address)}${path}`, {
       dispatcher: this.#agent,
       method: 'POST',
       headers: { [HEADERS.credential]: this.#credential, [HEADERS.claim]: claim.incarnation },
       signal,
     });
-    return attemptStateSchema.parse(await answer.body.json());
+    return attemptStateSchema.parse(await response.body.json());
   }
 
   async #request(target: Target, call: TargetCall): Promise<Dispatcher.ResponseData> {
--- a/src/entry/step.ts
+++ b/src/entry/step.ts
@@ -10,24 +10,24 @@
   ResolveStep,
   RunStep,
 } from '../state';
-import { type EntryContext, askControl, configurationOf } from './context';
-import { groupOf } from './program-ids';
-import { Refusal, notRun } from './refusal';
-import type { SettledAttempt } from './sidecar-client';
+import { type EntryContext, callControl, requireConfiguration } from './context';
+import { requireGroup } from './program-ids';
+import { Refusal, notRunRefusal } from './refusal';
+import type { AttemptState } from './sidecar-client';
 
-/** What begins a program of one call, for a call that names none. */
-export function createInput(context: EntryContext, id: string, team: Team): CreateProgram {
+/** Input that creates the program of a call that names none. */
+export function createProgramInput(context: EntryContext, id: string, team: Team): CreateProgram {
   return { id, team: team.name, configurationNumber: context.configuration.number };
 }
 
-/** Longest time that the leader holds one request to begin; milliseconds. */
-const HOLD_MILLISECONDS = 10_000;
+/** Longest time that the leader holds one `begin` request. */
+const BEGIN_WAIT_LIMIT_MILLISECONDS = 10_000;
 
-/** Margin for the leader's answer, which it gives when the time to wait is over. */
-const ANSWER_MILLISECONDS = 2000;
+/** Added to the wait: the leader responds only when the wait ends. */
+const RESPONSE_MARGIN_MILLISECONDS = 2000;
 
-/** How long the answer of a finished call is offered to the leader; milliseconds. */
-const COMPLETE_MILLISECONDS = 30_000;
+/** Time during which storing the answer of a finished call is retried. */
+const COMPLETE_DEADLINE_MILLISECONDS = 30_000;
 
 const STATUS_BY_CODE: Readonly<Record<string, number>> = {
   'no-configuration': 503,
@@ -43,25 +43,25 @@
   'turn-limit': 403,
 };
 
-/** HTTP status of a refusal by the state. */
+/** HTTP status for the code of a refusal by the state. */
 export function statusOf(code: string): number {
   return STATUS_BY_CODE[code] ?? 400;
 }
 
-/** A step that may run, or whose answer is there already. */
-export type BegunStep =
+/** `run`: the step may run now. `replay`: its answer is already stored. */
+export type BeginResult =
   | { readonly kind: 'run'; readonly run: RunStep }
   | { readonly kind: 'replay'; readonly answer: Answer };
 
 /**
- * Begins a step, waiting for earlier ones until the caller's deadline, and settling what an entry
- * that died has left.
+ * Begins a step. Waits for earlier steps until `deadline`, in milliseconds of the monotonic clock,
+ * and settles an attempt that a terminated entry left unfinished.
  */
 export async function beginStep(
   context: EntryContext,
   step: BeginStep,
   deadline: number,
-): Promise<BegunStep> {
+): Promise<BeginResult> {
   for (;;) {
     const remaining = deadline - context.clock.monotonic();
     const outcome = await askBegin(context, step, remaining);
@@ -77,7 +77,7 @@
         await settleAttempt(context, step.program, outcome);
         break;
       case 'unknown':
-        throw outcomeUnknown();
+        throw outcomeUnknownRefusal();
       case 'refused':
         throw new Refusal({
           status: statusOf(outcome.code),
@@ -94,13 +94,16 @@
   step: BeginStep,
   remaining: number,
 ): Promise<BeginOutcome> {
-  const waitMilliseconds = Math.max(0, Math.min(Math.floor(remaining), HOLD_MILLISECONDS));
+  const waitMilliseconds = Math.max(
+    0,
+    Math.min(Math.floor(remaining), BEGIN_WAIT_LIMIT_MILLISECONDS),
+  );
   const options = {
-    group: groupOf(step.program),
-    deadlineMilliseconds: Math.max(0, remaining) + ANSWER_MILLISECONDS,
-    attemptMilliseconds: HOLD_MILLISECONDS + ANSWER_MILLISECONDS,
+    group: requireGroup(step.program),
+    deadlineMilliseconds: Math.max(0, remaining) + RESPONSE_MARGIN_MILLISECONDS,
+    attemptMilliseconds: BEGIN_WAIT_LIMIT_MILLISECONDS + RESPONSE_MARGIN_MILLISECONDS,
   };
-  return askControl('not-run', () =>
+  return callControl('not-run', () =>
     context.control.call<BeginOutcome>(
       (connection, signal) => connection.steps.begin.mutate({ step, waitMilliseconds }, { signal }),
       options,
@@ -115,13 +118,13 @@
 ): void {
   if (context.clock.monotonic() < deadline) return;
   if (reason === 'earlier-step-missing') {
-    throw notRun(409, reason, 'an earlier sequence of this program did not arrive in time');
+    throw notRunRefusal(409, reason, 'an earlier sequence of this program did not arrive in time');
   }
   const message = 'the same program still works on a step; ask again for its answer';
   throw new Refusal({ status: 409, code: reason, message, outcome: 'unknown' });
 }
 
-function outcomeUnknown(): Refusal {
+function outcomeUnknownRefusal(): Refusal {
   return new Refusal({
     status: 502,
     code: 'outcome-unknown',
@@ -136,9 +139,9 @@
   readonly claim: Claim;
 }
 
-const SETTLE_MILLISECONDS = 2000;
+const SETTLE_TIMEOUT_MILLISECONDS = 2000;
 
-/** Asks the sidecar that an attempt was claimed at, and records what it tells. */
+/** Queries the sidecar at which an attempt was claimed and records the outcome. */
 async function settleAttempt(
   context: EntryContext,
   program: string,
@@ -147,11 +150,11 @@
   const finding = await findOutcome(context, step);
   context.logger.info({ event: 'attempt-settled', program, ...step, finding: finding.kind });
   const { sequence, attempt } = step;
-  await askControl('unknown', () =>
+  await callControl('unknown', () =>
     context.control.call(
       (connection, signal) =>
         connection.steps.resolve.mutate({ program, sequence, attempt, finding }, { signal }),
-      { group: groupOf(program) },
+      { group: requireGroup(program) },
     ),
   );
 }
@@ -160,7 +163,7 @@
   context: EntryContext,
   step: AttemptToSettle,
 ): Promise<ResolveStep['finding']> {
-  const target = context.directory.find(configurationOf(context), step.claim.target);
+  const target = context.directory.find(requireConfiguration(context), step.claim.target);
   if (target === undefined) return { kind: 'unknown' };
   const state = await askSidecar(context, target, step);
   switch (state.state) {
@@ -180,13 +183,13 @@
   }
 }
 
-/** A sidecar that can't be asked now may know the answer later. */
+/** Fails with a retryable refusal when the sidecar does not answer: it may know the outcome later. */
 async function askSidecar(
   context: EntryContext,
   target: Target,
   step: AttemptToSettle,
-): Promise<SettledAttempt> {
-  const { controller, cancel } = startTimeout(context.clock, SETTLE_MILLISECONDS);
+): Promise<AttemptState> {
+  const { controller, cancel } = startTimeout(context.clock, SETTLE_TIMEOUT_MILLISECONDS);
   try {
     return await context.sidecars.settle(target, step.attempt, step.claim, controller.signal);
   } catch (error) {
@@ -202,13 +205,13 @@
   }
 }
 
-/** Stores a step's answer; a step that another entry took over has that one's answer. */
+/** Stores a step's answer. If another entry took the step over, resolves with that entry's answer. */
 export async function completeStep(context: EntryContext, step: CompleteStep): Promise<Answer> {
-  const outcome = await askControl('unknown', () =>
+  const outcome = await callControl('unknown', () =>
     context.control.call(
       (connection, signal) =>
         connection.steps.complete.mutate({ ...step, messages: [...step.messages] }, { signal }),
-      { group: groupOf(step.program), deadlineMilliseconds: COMPLETE_MILLISECONDS },
+      { group: requireGroup(step.program), deadlineMilliseconds: COMPLETE_DEADLINE_MILLISECONDS },
     ),
   );
   if (outcome.outcome === 'recorded') return step.answer;
@@ -221,31 +224,33 @@
   });
 }
 
-/** What an attempt that failed leaves behind. */
 export interface FailedAttempt {
   readonly program: string;
   readonly sequence: number;
   readonly attempt: string;
+  /** Whether the reserved tokens and the call are charged to the program's budget. */
   readonly spent: boolean;
+  /** Targets that the attempt may have reached, and that may cache the program's history. */
   readonly holders: readonly string[];
 }
 
 /**
- * Takes a step back after a failure. It is offered to the leader until one takes it, in the
- * background, since a step that stays marked as running would hold up its program.
+ * Abandons a failed step, so that its sequence can begin again. Resolves after the first request;
+ * later ones follow in the background until a leader accepts one or the process drains, because a
+ * step that stays marked as running blocks its program.
  */
 export function abandonStep(context: EntryContext, step: FailedAttempt): Promise<void> {
-  return offerAbandon(context, step).catch((error: unknown) => {
+  return sendAbandon(context, step).catch((error: unknown) => {
     context.logger.warn({ event: 'abandon-failed', ...step, cause: messageOf(error) });
-    if (context.isStopping()) return;
+    if (context.isDraining()) return;
     void abandonStep(context, step);
   });
 }
 
-async function offerAbandon(context: EntryContext, step: FailedAttempt): Promise<void> {
+async function sendAbandon(context: EntryContext, step: FailedAttempt): Promise<void> {
   await context.control.call(
     (connection, signal) =>
       connection.steps.abandon.mutate({ ...step, holders: [...step.holders] }, { signal }),
-    { group: groupOf(step.program) },
+    { group: requireGroup(step.program) },
   );
 }
--- a/src/entry/tests/service-path.test.ts
+++ b/src/entry/tests/service-path.test.ts
@@ -1,7 +1,7 @@
 import { parseServicePath } from '../service-path';
 
 describe('paths below /services/', () => {
-  it('are split into service and path, the query kept', () => {
+  it('are split into service and path with the query', () => {
     expect(parseServicePath('/services/check-in/queue/4?gate=7')).toEqual({
       service: 'check-in',
       path: '/queue/4?gate=7',
@@ -19,7 +19,7 @@
     '/services/check-in/a#b',
     '/services/check-in/a b',
     '/services/check-in/é',
-  ])('that could mean another one are refused: %s', (path) => {
+  ])('are refused when ambiguous: %s', (path) => {
     expect(() => parseServicePath(path)).toThrow('is not a plain service path');
   });
 });
