--- a/src/protocol/control-client.ts
+++ b/src/protocol/control-client.ts
@@ -15,9 +15,9 @@
 import type { NotLeader } from './schemas';
 import { ControlSocket, socketLink } from './socket';
 
-/** The control hosts gave no answer. */
+/** No control host, or no majority of them, answered in time. */
 export class ControlUnavailableError extends MartenbayError {
-  /** Whether the reason is a refused credential, which no retry mends. */
+  /** Whether the credential was refused; a retry fails the same way. */
   readonly unauthorized: boolean;
 
   constructor(message: string, unauthorized: boolean, cause?: unknown) {
@@ -47,34 +47,34 @@
   readonly connection: ControlConnection;
 }
 
-/** Which leader is asked, and how long for: in all, and at one member; milliseconds. */
 export interface CallOptions {
-  /** The configuration's unless given. */
+  /** Group whose leader is called; by default that of the configuration. */
   readonly group?: string;
+  /** Time limit for all attempts together. */
   readonly deadlineMilliseconds?: number;
+  /** Time limit for one attempt at one member. */
   readonly attemptMilliseconds?: number;
 }
 
-const RETRY_MILLISECONDS = 25;
+const RETRY_DELAY_MILLISECONDS = 25;
 
-/** Wait for an answer after which a member is probed, and the longest wait for that; milliseconds. */
-const PROBE_AFTER_MILLISECONDS = 500;
-const PROBE_ANSWER_MILLISECONDS = 1000;
+/** Interval of the probes of a member while a call to it is in flight. */
+const PROBE_INTERVAL_MILLISECONDS = 500;
+const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
 /**
- * Calls whichever control host leads a group. A call is repeated at other members until one answers or
- * its deadline passes; every procedure gives a repeated call the same answer.
+ * Calls the control host that leads a group. A call is retried at other members until one answers
+ * or its deadline passes; every procedure must therefore be idempotent.
  */
 export class ControlClient implements Component {
   readonly #clock: Clock;
   readonly #attemptMilliseconds: number;
   readonly #members: readonly MemberConnection[];
-  /** Calls under way, each with the member that it waits for. */
+  /** Calls in flight, by abort controller, with the member that each waits for. */
   readonly #attempts = new Map<AbortController, MemberConnection>();
-  /** Members that are being probed. */
-  readonly #probed = new Set<MemberConnection>();
-  /** Place in the list of members of the one that is asked first, by group. */
-  readonly #current = new Map<string, number>();
+  readonly #probesInFlight = new Set<MemberConnection>();
+  /** Index of the member that is called first, by group. */
+  readonly #preferredIndex = new Map<string, number>();
   #stopped = false;
 
   constructor(options: ControlClientOptions) {
@@ -87,43 +87,46 @@
     });
   }
 
-  /** Gives up the calls under way and closes the connections. */
+  /** Aborts the calls in flight and closes the connections. */
   stop(): void {
     this.#stopped = true;
-    for (const attempt of this.#attempts.keys()) attempt.abort(new Error('the client is stopping'));
+    for (const attempt of this.#attempts.keys())
+      attempt.abort(new Error('the control client is stopping'));
     for (const member of this.#members) member.socket.close();
   }
 
-  /** Connection to one member, whether it leads or not. */
+  /** Connection to one member, whether or not it is the leader. */
   member(name: string): ControlConnection | undefined {
     return this.#members.find((member) => member.name === name)?.connection;
   }
 
   /**
-   * Asks every member, and resolves with the answers of a majority.
+   * Calls every member; resolves with all answers, once every call has settled, if a majority
+   * answered.
    *
    * @throws {@link ControlUnavailableError} when a majority did not answer in time
    */
   async askMajority<T>(
-    operate: (connection: ControlConnection, signal: AbortSignal) => Promise<T>,
+    operation: (connection: ControlConnection, signal: AbortSignal) => Promise<T>,
   ): Promise<readonly T[]> {
-    const needed = Math.floor(this.#members.length / 2) + 1;
+    const majority = Math.floor(this.#members.length / 2) + 1;
     const limit = this.#attemptMilliseconds;
-    const asked = this.#members.map((member) => this.#attempt(member, operate, limit));
-    const settled = await Promise.allSettled(asked);
-    const answers = settled.flatMap((one) => (one.status === 'fulfilled' ? [one.value] : []));
-    if (answers.length >= needed) return answers;
+    const attempts = this.#members.map((member) => this.#attempt(member, operation, limit));
+    const settled = await Promise.allSettled(attempts);
+    const answers = settled.flatMap((call) => (call.status === 'fulfilled' ? [call.value] : []));
+    if (answers.length >= majority) return answers;
     const message = `${answers.length} of ${this.#members.length} control hosts answered`;
     throw new ControlUnavailableError(message, false);
   }
 
   /**
-   * Runs an operation at the leader of a group.
+   * Runs an operation on the leader of a group.
    *
-   * @throws {@link ControlUnavailableError} when no member answered in time
+   * @throws {@link ControlUnavailableError} when no leader answered in time, or a member refused
+   * the credential
    */
   async call<T extends { readonly outcome: string }>(
-    operate: (connection: ControlConnection, signal: AbortSignal) => Promise<T | NotLeader>,
+    operation: (connection: ControlConnection, signal: AbortSignal) => Promise<T | NotLeader>,
     options: CallOptions = {},
   ): Promise<Exclude<T, NotLeader>> {
     const { group = CONFIGURATION_GROUP, deadlineMilliseconds = 10_000 } = options;
@@ -133,22 +136,22 @@
     for (;;) {
       const remaining = deadline - this.#clock.monotonic();
       if (remaining <= 0 || this.#stopped) break;
-      const member = this.#members[this.#current.get(group) ?? 0];
+      const member = this.#members[this.#preferredIndex.get(group) ?? 0];
       if (member === undefined) break;
       try {
         const limit = Math.min(remaining, attemptMilliseconds);
-        const probes = group !== CONFIGURATION_GROUP;
-        const answer = await this.#attempt(member, operate, limit, probes);
+        const probe = group !== CONFIGURATION_GROUP;
+        const answer = await this.#attempt(member, operation, limit, probe);
         if (answer.outcome !== 'not-leader') return answer as Exclude<T, NotLeader>;
-        this.#follow(group, member, (answer as NotLeader).leader);
+        this.#followLeader(group, member, (answer as NotLeader).leader);
       } catch (error) {
         if (isUnauthorized(error)) {
           throw new ControlUnavailableError('the control host refused the credential', true, error);
         }
         failure = error;
-        this.#leave(group, member);
+        this.#tryNextMember(group, member);
       }
-      await delay(this.#clock, RETRY_MILLISECONDS);
+      await delay(this.#clock, RETRY_DELAY_MILLISECONDS);
     }
     const message = `no control host answered in time: ${messageOf(failure)}`;
     throw new ControlUnavailableError(message, false, failure);
@@ -156,18 +159,18 @@
 
   async #attempt<T>(
     member: MemberConnection,
-    operate: (connection: ControlConnection, signal: AbortSignal) => Promise<T>,
+    operation: (connection: ControlConnection, signal: AbortSignal) => Promise<T>,
     milliseconds: number,
-    probes = false,
+    probe = false,
   ): Promise<T> {
     const controller = new AbortController();
     this.#attempts.set(controller, member);
     const cancel = this.#clock.after(milliseconds, () => {
-      this.#giveUp(member, new Error(`${member.name} did not answer in ${milliseconds} ms`));
+      this.#abortAttempts(member, new Error(`${member.name} did not answer in ${milliseconds} ms`));
     });
-    const cancelProbe = probes ? this.#probeLater(member) : () => undefined;
+    const cancelProbe = probe ? this.#startProbing(member) : () => undefined;
     try {
-      return await operate(member.connection, controller.signal);
+      return await operation(member.connection, controller.signal);
     } finally {
       cancel();
       cancelProbe();
@@ -176,14 +179,13 @@
   }
 
   /**
-   * A leader may hold a call for long. So that one that is frozen or cut off is noticed meanwhile,
-   * it is asked again and again for something that it answers at once. The leader of the
-   * configuration is not: the heartbeats that it gets tell as much.
+   * Probes a member periodically while it holds a call, to detect that it is suspended or
+   * unreachable. The leader of the configuration is not probed: heartbeats to it detect the same.
    */
-  #probeLater(member: MemberConnection): CancelTimer {
+  #startProbing(member: MemberConnection): CancelTimer {
     let cancel: CancelTimer = () => undefined;
     const schedule = () => {
-      cancel = this.#clock.after(PROBE_AFTER_MILLISECONDS, () => {
+      cancel = this.#clock.after(PROBE_INTERVAL_MILLISECONDS, () => {
         void this.#probe(member);
         schedule();
       });
@@ -195,40 +197,43 @@
   }
 
   async #probe(member: MemberConnection): Promise<void> {
-    if (this.#probed.has(member)) return;
-    this.#probed.add(member);
-    const { controller, cancel } = startTimeout(this.#clock, PROBE_ANSWER_MILLISECONDS);
+    if (this.#probesInFlight.has(member)) return;
+    this.#probesInFlight.add(member);
+    const { controller, cancel } = startTimeout(this.#clock, PROBE_TIMEOUT_MILLISECONDS);
     try {
       await member.connection.groups.knownTerm.query(undefined, { signal: controller.signal });
     } catch (error) {
-      this.#giveUp(member, new Error(`${member.name} answers no probe: ${messageOf(error)}`));
+      this.#abortAttempts(
+        member,
+        new Error(`${member.name} did not answer a probe: ${messageOf(error)}`),
+      );
     } finally {
       cancel();
-      this.#probed.delete(member);
+      this.#probesInFlight.delete(member);
     }
   }
 
   /**
-   * A member that leaves one call unanswered is taken for frozen or cut off: every call that waits
-   * for it is made elsewhere, so that a long one does not wait out its own time.
+   * Aborts every call that waits for a member, so that long calls are retried at another member
+   * without waiting for their own timeout. One unanswered call or probe is enough.
    */
-  #giveUp(member: MemberConnection, reason: Error): void {
-    for (const [attempt, waitsFor] of this.#attempts) {
-      if (waitsFor === member) attempt.abort(reason);
+  #abortAttempts(member: MemberConnection, reason: Error): void {
+    for (const [attempt, attemptMember] of this.#attempts) {
+      if (attemptMember === member) attempt.abort(reason);
     }
   }
 
-  /** Turns to the next member, once for all the calls that fail at this one. */
-  #leave(group: string, member: MemberConnection): void {
+  /** Moves on to the next member, only once when several calls fail at the same one. */
+  #tryNextMember(group: string, member: MemberConnection): void {
     const index = this.#members.indexOf(member);
-    const current = this.#current.get(group) ?? 0;
-    if (current === index) this.#current.set(group, (index + 1) % this.#members.length);
+    const current = this.#preferredIndex.get(group) ?? 0;
+    if (current === index) this.#preferredIndex.set(group, (index + 1) % this.#members.length);
   }
 
-  #follow(group: string, member: MemberConnection, leader: string | undefined): void {
-    const index = this.#members.findIndex((other) => other.name === leader);
-    if (index >= 0) this.#current.set(group, index);
-    else this.#leave(group, member);
+  #followLeader(group: string, member: MemberConnection, leader: string | undefined): void {
+    const index = this.#members.findIndex((candidate) => candidate.name === leader);
+    if (index >= 0) this.#preferredIndex.set(group, index);
+    else this.#tryNextMember(group, member);
   }
 }
 
--- a/src/protocol/control-listener.ts
+++ b/src/protocol/control-listener.ts
@@ -4,7 +4,7 @@
 import type { HttpListener } from './listen';
 import { type CallerContext, type ControlApi, createControlRouter } from './router';
 
-/** Largest message between processes, in bytes. */
+/** Largest WebSocket message accepted. */
 export const MESSAGE_LIMIT_BYTES = 32 * 1024 * 1024;
 
 export interface ControlListenerOptions {
@@ -14,14 +14,14 @@
   readonly operatorCredential: string;
 }
 
-/** Serves the control router over WebSocket on a process's HTTP server. */
+/** Serves the control router over WebSocket on an existing HTTP server. */
 export class ControlListener implements Component {
   readonly #options: ControlListenerOptions;
-  readonly #sockets: WebSocketServer;
+  readonly #webSocketServer: WebSocketServer;
 
   constructor(options: ControlListenerOptions) {
     this.#options = options;
-    this.#sockets = new WebSocketServer({
+    this.#webSocketServer = new WebSocketServer({
       server: options.listener.server,
       maxPayload: MESSAGE_LIMIT_BYTES,
       perMessageDeflate: false,
@@ -30,18 +30,18 @@
 
   start(): void {
     applyWSSHandler({
-      wss: this.#sockets,
+      wss: this.#webSocketServer,
       router: createControlRouter(this.#options.api),
-      createContext: ({ info }) => this.#identify(info.connectionParams?.['credential']),
+      createContext: ({ info }) => this.#authenticate(info.connectionParams?.['credential']),
     });
   }
 
   stop(): void {
-    for (const socket of this.#sockets.clients) socket.terminate();
-    this.#sockets.close();
+    for (const socket of this.#webSocketServer.clients) socket.terminate();
+    this.#webSocketServer.close();
   }
 
-  #identify(credential: string | undefined): CallerContext {
+  #authenticate(credential: string | undefined): CallerContext {
     if (credential === undefined) return { caller: undefined };
     if (equalSecrets(credential, this.#options.processCredential)) return { caller: 'process' };
     if (equalSecrets(credential, this.#options.operatorCredential)) return { caller: 'operator' };
--- a/src/protocol/headers.ts
+++ b/src/protocol/headers.ts
@@ -1,40 +1,40 @@
-/** Headers of callers' requests and of the calls between entries and sidecars. */
+/** HTTP headers of callers' requests and of calls between entries and sidecars. */
 export const HEADERS = {
-  /** Program that a call belongs to. */
+  /** Id of the program that a call belongs to. */
   program: 'martenbay-program',
-  /** The call's place in the program's order, from 1. */
+  /** Sequence number of the call in its program, from 1. */
   sequence: 'martenbay-sequence',
-  /** Time that the caller waits, in milliseconds. */
+  /** Time that the caller waits for the response, in milliseconds. */
   deadline: 'martenbay-deadline',
-  /** `append`: the body carries only the new messages. */
+  /** `append`: the body contains only the new messages. */
   history: 'martenbay-history',
-  /** On a refusal, whether the call ran: `not-run` or `unknown`. */
+  /** In a refusal, whether the call ran: `not-run` or `unknown`. */
   outcome: 'martenbay-outcome',
-  /** Identity of one run of a call, between entry and sidecar. */
+  /** Id of one attempt of a call, between entry and sidecar. */
   attempt: 'martenbay-attempt',
-  /** Present on a call that may not be repeated: the sidecar incarnation it was claimed at. */
+  /** Sidecar incarnation at which a non-repeatable call was claimed; absent for other calls. */
   claim: 'martenbay-claim',
-  /** Credential between processes. */
+  /** Credential that processes present to each other. */
   credential: 'martenbay-credential',
-  /** Load of a target when it admitted the call: running, waiting. */
+  /** Load of a target when it admitted the call: `running,waiting`. */
   load: 'martenbay-load',
 } as const;
 
 /** Whether a refused call ran. */
 export type RunOutcome = 'not-run' | 'unknown';
 
-/** Path prefix at a sidecar below which calls go to its target. */
+/** Path prefix at a sidecar for calls to its target. */
 export const CALL_PREFIX = '/target';
 
 /** Path prefix at a sidecar for settling an attempt. */
 export const ATTEMPT_PREFIX = '/attempts';
 
-/** Renders a load for {@link HEADERS.load}. */
+/** Formats the value of {@link HEADERS.load}. */
 export function formatLoad(load: { readonly running: number; readonly waiting: number }): string {
   return `${load.running},${load.waiting}`;
 }
 
-/** Reads {@link HEADERS.load}; nothing when it is absent or malformed. */
+/** Parses {@link HEADERS.load}; undefined when it is absent or malformed. */
 export function parseLoad(
   text: string | undefined,
 ): { readonly running: number; readonly waiting: number } | undefined {
--- a/src/protocol/listen.ts
+++ b/src/protocol/listen.ts
@@ -1,16 +1,15 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { Address, Component, Metrics } from '../core';
 
-/** Answers to `/healthz` and `/readyz`. */
 export interface HealthSource {
-  /** Why the process is not ready to serve; nothing when it is. */
+  /** Reason why the process is not ready; undefined when it is. */
   readonly notReady: () => string | undefined;
   readonly metrics: Metrics;
 }
 
 /**
- * Answers the pages that every process has: `/healthz`, `/readyz` and `/metrics`. Returns whether
- * the request was one of them.
+ * Serves `GET` requests for `/healthz`, `/readyz` and `/metrics`. Returns false, without sending a
+ * response, for any other request.
  */
 export function answerHealth(
   source: HealthSource,
@@ -38,19 +37,19 @@
   }
 }
 
-export interface ListenerOptions {
+export interface HttpListenerOptions {
   readonly address: Address;
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
-  /** Largest total of request headers, in bytes. */
+  /** Largest total size of the request headers, in bytes. */
   readonly headerLimitBytes?: number;
 }
 
-/** An HTTP server as a component: stopping it finishes the requests under way. */
+/** HTTP server that completes the requests in flight before it stops. */
 export class HttpListener implements Component {
   readonly server: Server;
   readonly #address: Address;
 
-  constructor(options: ListenerOptions) {
+  constructor(options: HttpListenerOptions) {
     const { address, handle, headerLimitBytes = 16_384 } = options;
     this.#address = address;
     this.server = createServer({ maxHeaderSize: headerLimitBytes, noDelay: true }, handle);
@@ -66,7 +65,7 @@
     });
   }
 
-  /** Takes no new connection, and resolves once the last request has its answer. */
+  /** Stops accepting connections; resolves once the last request was answered. */
   stop(): Promise<void> {
     return new Promise((resolve) => {
       this.server.close(() => {
--- a/src/protocol/presence.ts
+++ b/src/protocol/presence.ts
@@ -16,41 +16,41 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly heartbeatMilliseconds: number;
-  /** The process's present state. */
+  /** Current state of the process. */
   readonly describe: () => Heartbeat;
-  /** What the process has, so that it is told only what is newer. */
+  /** Versions that the process already has; a watch returns only newer ones. */
   readonly position: () => Omit<Watch, 'waitMilliseconds'>;
   readonly onChanges: (changes: WatchChanges) => Promise<void> | void;
 }
 
-/** Puts a configuration that a watch brought in force, and tells the leader so. */
+/** Activates a configuration received by a watch and reports its number to the leader. */
 export function adoptChanges(
   configuration: ConfigurationInForce,
   changes: WatchChanges,
-  presence: Presence,
+  session: Presence,
   logger: Logger,
 ): void {
   if (changes.configuration === undefined) return;
   const { number } = changes.configuration;
   const outcome = configuration.adopt(changes.configuration);
   logger.info({ event: 'configuration', outcome, number });
-  void presence.announce();
+  void session.announce();
 }
 
-/** How long the leader holds a watch without news; milliseconds. */
-const WATCH_MILLISECONDS = 10_000;
+/** Longest time that the leader holds a watch while nothing changes. */
+const WATCH_WAIT_MILLISECONDS = 10_000;
 
-/** Margin for the answer to a held watch; milliseconds. */
-const ANSWER_MILLISECONDS = 2000;
+/** Added to the wait: the leader responds only when the wait ends. */
+const RESPONSE_MARGIN_MILLISECONDS = 2000;
 
-/** A leader that has not answered a heartbeat by then is taken for frozen or cut off. */
-const HEARTBEAT_ANSWER_MILLISECONDS = 1000;
+/** After this time without an answer the leader counts as suspended or unreachable. */
+const HEARTBEAT_TIMEOUT_MILLISECONDS = 1000;
 
 const HEARTBEAT_DEADLINE_MILLISECONDS = 3000;
 
-const RETRY_MILLISECONDS = 100;
+const WATCH_RETRY_DELAY_MILLISECONDS = 100;
 
-/** Keeps an entry or sidecar known to the leader, and brings it what changes. */
+/** Sends heartbeats of an entry or sidecar to the leader and watches it for changes. */
 export class Presence implements Component {
   readonly #options: PresenceOptions;
   #cancelHeartbeat: CancelTimer = () => undefined;
@@ -72,7 +72,7 @@
     this.#cancelHeartbeat();
   }
 
-  /** Sends a heartbeat now; resolves once it was heard or given up. */
+  /** Sends a heartbeat immediately; resolves once it was acknowledged or has failed. */
   async announce(): Promise<void> {
     const { client, describe, logger } = this.#options;
     try {
@@ -80,7 +80,7 @@
         (connection, signal) => connection.nodes.heartbeat.mutate(describe(), { signal }),
         {
           deadlineMilliseconds: HEARTBEAT_DEADLINE_MILLISECONDS,
-          attemptMilliseconds: HEARTBEAT_ANSWER_MILLISECONDS,
+          attemptMilliseconds: HEARTBEAT_TIMEOUT_MILLISECONDS,
         },
       );
     } catch (error) {
@@ -95,19 +95,19 @@
         const changes = await client.call<WatchChanges>(
           (connection, signal) =>
             connection.nodes.watch.query(
-              { ...this.#options.position(), waitMilliseconds: WATCH_MILLISECONDS },
+              { ...this.#options.position(), waitMilliseconds: WATCH_WAIT_MILLISECONDS },
               { signal },
             ),
           {
-            deadlineMilliseconds: WATCH_MILLISECONDS * 2,
-            attemptMilliseconds: WATCH_MILLISECONDS + ANSWER_MILLISECONDS,
+            deadlineMilliseconds: WATCH_WAIT_MILLISECONDS * 2,
+            attemptMilliseconds: WATCH_WAIT_MILLISECONDS + RESPONSE_MARGIN_MILLISECONDS,
           },
         );
         await onChanges(changes);
       } catch (error) {
         if (this.#isStopped) return;
         logger.warn({ event: 'watch-failed', error: messageOf(error) });
-        await delay(clock, RETRY_MILLISECONDS);
+        await delay(clock, WATCH_RETRY_DELAY_MILLISECONDS);
       }
     }
   }
--- a/src/protocol/router.ts
+++ b/src/protocol/router.ts
@@ -39,13 +39,13 @@
   watchSchema,
 } from './schemas';
 
-/** A program, for its own team only. */
+/** A program; returned only to the team that owns it. */
 export interface FoundProgram {
   readonly outcome: 'found';
   readonly program: ProgramView;
 }
 
-/** The configuration in force, if any was applied. */
+/** The active configuration; absent until one is applied. */
 export interface InForce {
   readonly outcome: 'in-force';
   readonly configuration?:
@@ -68,32 +68,32 @@
   readonly envelopes: readonly Envelope[];
 }
 
-/** A host's answers to replication messages. */
+/** Replication messages that a host sends in reply to those delivered. */
 export interface Delivered {
   readonly answers: readonly GroupEnvelopes[];
 }
 
-/** Highest term of the configuration's group that a control host knows, whether it leads or not. */
+/** Highest term of the configuration group that a control host knows, leader or not. */
 export interface KnownTerm {
   readonly outcome: 'term';
   readonly term: number;
 }
 
-/** Whether an entry process has surely ended, as far as the leader of the configuration knows. */
+/** Whether an entry has certainly terminated, as known to the leader of the configuration group. */
 export interface EntryLife {
   readonly outcome: 'entry-life';
   readonly dead: boolean;
 }
 
-const offerSchema = z.object({ group: z.string(), orders: z.array(orderSchema).readonly() });
+const orderOfferSchema = z.object({ group: z.string(), orders: z.array(orderSchema).readonly() });
 
-/** All orders of one group that targets have not confirmed yet. */
+/** All orders of one group that are not confirmed by their targets. */
 export interface OrderOffer {
   readonly group: string;
   readonly orders: readonly Order[];
 }
 
-/** What a control host offers to the other processes and to operators. */
+/** Procedures that a control host serves to other processes and to operators. */
 export interface ControlApi {
   createProgram(input: CreateProgram): Promise<Created | Refused | NotLeader>;
   getProgram(program: string, team: string): Promise<FoundProgram | Refused | NotLeader>;
@@ -116,15 +116,15 @@
   deliver(batches: readonly GroupEnvelopes[]): Promise<Delivered>;
 }
 
-/** Who is calling, from the credential shown when the connection was opened. */
+/** Role of the caller, from the credential presented when the connection was opened. */
 export interface CallerContext {
   readonly caller: 'process' | 'operator' | undefined;
 }
 
-const t = initTRPC.context<CallerContext>().create();
+const trpc = initTRPC.context<CallerContext>().create();
 
 function procedureFor(allowed: readonly CallerContext['caller'][]) {
-  return t.procedure.use(({ ctx, next }) => {
+  return trpc.procedure.use(({ ctx, next }) => {
     if (allowed.includes(ctx.caller)) return next();
     throw new TRPCError({
       code: 'UNAUTHORIZED',
@@ -133,59 +133,70 @@
   });
 }
 
-const process = procedureFor(['process']);
-const operator = procedureFor(['operator']);
-const programOfTeam = z.object({ program: z.string(), team: z.string() });
+const processProcedure = procedureFor(['process']);
+const operatorProcedure = procedureFor(['operator']);
+const teamProgramSchema = z.object({ program: z.string(), team: z.string() });
 
-/** Builds the tRPC router over a {@link ControlApi}. */
 export function createControlRouter(api: ControlApi) {
-  return t.router({
-    programs: t.router({
-      create: process.input(createProgramSchema).mutation(({ input }) => api.createProgram(input)),
-      get: process
-        .input(programOfTeam)
+  return trpc.router({
+    programs: trpc.router({
+      create: processProcedure
+        .input(createProgramSchema)
+        .mutation(({ input }) => api.createProgram(input)),
+      get: processProcedure
+        .input(teamProgramSchema)
         .query(({ input }) => api.getProgram(input.program, input.team)),
-      end: process
+      end: processProcedure
         .input(z.object({ end: endProgramSchema, team: z.string() }))
         .mutation(({ input }) => api.endProgram(input.end, input.team)),
     }),
-    steps: t.router({
-      begin: process
+    steps: trpc.router({
+      begin: processProcedure
         .input(z.object({ step: beginStepSchema, waitMilliseconds: z.int().nonnegative() }))
         .mutation(({ input }) => api.beginStep(input.step, input.waitMilliseconds)),
-      complete: process.input(completeStepSchema).mutation(({ input }) => api.completeStep(input)),
-      abandon: process.input(abandonStepSchema).mutation(({ input }) => api.abandonStep(input)),
-      resolve: process.input(resolveStepSchema).mutation(({ input }) => api.resolveStep(input)),
+      complete: processProcedure
+        .input(completeStepSchema)
+        .mutation(({ input }) => api.completeStep(input)),
+      abandon: processProcedure
+        .input(abandonStepSchema)
+        .mutation(({ input }) => api.abandonStep(input)),
+      resolve: processProcedure
+        .input(resolveStepSchema)
+        .mutation(({ input }) => api.resolveStep(input)),
     }),
-    nodes: t.router({
-      heartbeat: process.input(heartbeatSchema).mutation(({ input }) => api.heartbeat(input)),
-      watch: process.input(watchSchema).query(({ input }) => api.watch(input)),
-      confirmOrders: process
+    nodes: trpc.router({
+      heartbeat: processProcedure
+        .input(heartbeatSchema)
+        .mutation(({ input }) => api.heartbeat(input)),
+      watch: processProcedure.input(watchSchema).query(({ input }) => api.watch(input)),
+      confirmOrders: processProcedure
         .input(z.object({ orders: z.array(z.string()) }))
         .mutation(({ input }) => api.confirmOrders(input.orders)),
     }),
-    configuration: t.router({
-      accept: operator
+    configuration: trpc.router({
+      accept: operatorProcedure
         .input(acceptConfigurationSchema)
         .mutation(({ input }) => api.applyConfiguration(input)),
-      get: operator.query(() => api.configurationInForce()),
+      get: operatorProcedure.query(() => api.configurationInForce()),
     }),
-    status: operator.query(() => api.status()),
-    groups: t.router({
-      entryLife: process
+    status: operatorProcedure.query(() => api.status()),
+    groups: trpc.router({
+      entryLife: processProcedure
         .input(z.object({ identity: z.string() }))
         .query(({ input }) => api.entryLife(input.identity)),
-      offerOrders: process.input(offerSchema).mutation(({ input }) => api.offerOrders(input)),
-      settleOrders: process
+      offerOrders: processProcedure
+        .input(orderOfferSchema)
+        .mutation(({ input }) => api.offerOrders(input)),
+      settleOrders: processProcedure
         .input(z.object({ group: z.string(), orders: z.array(z.string()) }))
         .mutation(({ input }) => api.settleOrders(input.group, input.orders)),
-      knownTerm: process.query(() => api.knownTerm()),
-      summary: process
+      knownTerm: processProcedure.query(() => api.knownTerm()),
+      summary: processProcedure
         .input(z.object({ group: z.string() }))
         .query(({ input }) => api.summary(input.group)),
     }),
-    replication: t.router({
-      deliver: process
+    replication: trpc.router({
+      deliver: processProcedure
         .input(z.object({ batches: z.array(groupEnvelopesSchema) }))
         .mutation(({ input }) => api.deliver(input.batches)),
     }),
--- a/src/protocol/schemas.ts
+++ b/src/protocol/schemas.ts
@@ -2,13 +2,13 @@
 import type { ConfigurationChanges } from '../state/configuration-machine';
 import type { Order } from '../state/records';
 
-const name = z.string().min(1).max(100);
+const nameSchema = z.string().min(1).max(100);
 
-/** What a sidecar tells of its target. */
+/** Load of a target, as reported by its sidecar. */
 export const loadSchema = z.object({
-  /** Calls that the target works on. */
+  /** Calls that the target is processing. */
   running: z.int().nonnegative(),
-  /** Calls that wait inside the target. */
+  /** Calls queued inside the target. */
   waiting: z.int().nonnegative(),
 });
 export type Load = Readonly<z.output<typeof loadSchema>>;
@@ -18,44 +18,44 @@
 
 export const heartbeatSchema = z.object({
   kind: z.enum(['entry', 'sidecar']),
-  name,
-  /** New at every start of the process. */
-  incarnation: name,
+  name: nameSchema,
+  /** Changes with every start of the process. */
+  incarnation: nameSchema,
   state: nodeStateSchema,
   configurationNumber: z.int().nonnegative(),
   /** The sidecar's target and its load. */
-  target: name.optional(),
+  target: nameSchema.optional(),
   load: loadSchema.optional(),
 });
 export type Heartbeat = Readonly<z.output<typeof heartbeatSchema>>;
 
 export const watchSchema = z.object({
-  /** Number of the configuration that the asker has in force. */
+  /** Number of the configuration that the caller has. */
   configurationNumber: z.int().nonnegative(),
-  /** The newest directory that the asker has seen; absent for a sidecar. */
+  /** Latest directory version that the caller has; absent for a sidecar. */
   directory: z.object({ epoch: z.int(), version: z.int() }).optional(),
-  /** Target whose orders the asker carries out. */
-  target: name.optional(),
+  /** Target whose orders the caller runs; absent for an entry. */
+  target: nameSchema.optional(),
   waitMilliseconds: z.int().nonnegative().max(30_000),
 });
 export type Watch = Readonly<z.output<typeof watchSchema>>;
 
-/** This member does not lead; the caller asks `leader`, or another member when it is unknown. */
+/** This member is not the leader; call `leader` next, or any other member when it is unknown. */
 export interface NotLeader {
   readonly outcome: 'not-leader';
   readonly leader?: string | undefined;
 }
 
-/** Where a target stands, as the leader knows it. */
+/** State of a target, as known to the leader of the configuration group. */
 export interface TargetRecord {
   readonly target: string;
-  /** `lost`: no heartbeat for a session time. */
+  /** `lost`: the session expired without a heartbeat. */
   readonly state: NodeState | 'lost';
   readonly incarnation: string;
   readonly load: Load;
 }
 
-/** Records that changed since a version; an epoch is the term of the leader that numbers them. */
+/** Records changed since a version. `epoch`: term of the leader that assigned the version. */
 export interface DirectoryChanges {
   readonly epoch: number;
   readonly version: number;
@@ -64,7 +64,7 @@
 
 export interface WatchChanges {
   readonly outcome: 'changes';
-  /** The leader's term, which fences its orders. */
+  /** Term of the leader; serves as fencing token of the orders. */
   readonly term: number;
   readonly configuration?: ConfigurationChanges | undefined;
   readonly directory?: DirectoryChanges | undefined;
@@ -75,7 +75,7 @@
   readonly outcome: 'noted';
 }
 
-/** One process, as status shows it. */
+/** One process in the operator's status. */
 export interface NodeStatus {
   readonly kind: 'entry' | 'sidecar';
   readonly name: string;
@@ -89,39 +89,40 @@
   readonly team: string;
   readonly livePrograms: number;
   readonly endedPrograms: number;
-  /** Programs that have spent or set aside nine tenths of their tokens or calls. */
+  /** Programs that have spent or reserved at least 90% of their tokens or calls. */
   readonly nearBudget: number;
 }
 
-/** One replicated group, as its leader sees it. */
+/** State of a replicated group, as reported by its leader. */
 export interface GroupStatus {
   readonly group: string;
-  /** Absent when nobody answers for the group. */
+  /** Absent when no leader answers for the group. */
   readonly leader?: string | undefined;
   readonly term: number;
   readonly appliedIndex: number;
-  /** Control hosts that vote, and those that are being filled, by name. */
+  /** Names of the voting control hosts. */
   readonly voters: readonly string[];
+  /** Names of the non-voting control hosts that are catching up. */
   readonly learners: readonly string[];
-  /** Those of them that have not answered the leader for a while. */
+  /** Names of voters and learners that are not answering the leader. */
   readonly silent: readonly string[];
 }
 
-/** What the leader of a group of programs tells about them. */
+/** Status of one program group, from its leader. */
 export interface GroupSummary {
   readonly outcome: 'summary';
   readonly group: GroupStatus;
   readonly teams: readonly TeamStatus[];
 }
 
-/** What is in force, at a glance. */
+/** Status of the whole deployment, for operators. */
 export interface Status {
   readonly outcome: 'status';
-  /** The configuration's group first. */
+  /** Starts with the configuration group. */
   readonly groups: readonly GroupStatus[];
   readonly configuration: { readonly number: number; readonly digest: string };
   readonly nodes: readonly NodeStatus[];
-  /** Whether every live process has had the time to be heard since the leader took over. */
+  /** Whether the leader has led for a session timeout, so that every live process is listed. */
   readonly nodesComplete: boolean;
   readonly lagging: readonly string[];
   readonly teams: readonly TeamStatus[];
--- a/src/protocol/socket.ts
+++ b/src/protocol/socket.ts
@@ -4,8 +4,8 @@
 import * as z from 'zod';
 import type { ControlRouter } from './router';
 
-/** The server's side of tRPC's WebSocket messages, as far as calls need it. */
-const answerSchema = z.object({
+/** Responses of tRPC's WebSocket protocol, without subscriptions. */
+const responseSchema = z.object({
   id: z.number(),
   result: z.looseObject({ data: z.unknown() }).optional(),
   error: z.looseObject({ message: z.string(), code: z.number(), data: z.unknown() }).optional(),
@@ -16,7 +16,6 @@
   readonly reject: (error: Error | object) => void;
 }
 
-/** One call as tRPC sends it. */
 interface OutgoingCall {
   readonly method: 'query' | 'mutation' | 'subscription';
   readonly path: string;
@@ -24,16 +23,16 @@
 }
 
 /**
- * One WebSocket to a control host. It opens with the first call; when it is lost, the calls under
- * way fail and the next call opens it anew. tRPC's own client waits for a timer before each call,
- * which takes longer than the call itself (docs/DESIGN.md has the measurement).
+ * WebSocket connection to a control host. The first call opens it; when it closes, the calls in
+ * flight fail and the next call reopens it. Used instead of tRPC's WebSocket client, which delays
+ * every call by a timer.
  */
 export class ControlSocket {
   readonly #url: string;
   readonly #credential: string;
   readonly #pending = new Map<number, PendingCall>();
   #socket: WebSocket | undefined;
-  #unsent: string[] = [];
+  #sendQueue: string[] = [];
   #lastId = 0;
 
   constructor(url: string, credential: string) {
@@ -41,7 +40,7 @@
     this.#credential = credential;
   }
 
-  /** Makes a call; returns what gives it up. */
+  /** Sends a call; returns a function that cancels it. */
   call(call: OutgoingCall, pending: PendingCall): () => void {
     this.#lastId += 1;
     const id = this.#lastId;
@@ -60,7 +59,7 @@
   #send(text: string): void {
     const socket = this.#socket ?? this.#open();
     if (socket.readyState === WebSocket.OPEN) socket.send(text);
-    else this.#unsent.push(text);
+    else this.#sendQueue.push(text);
   }
 
   #open(): WebSocket {
@@ -69,22 +68,22 @@
     socket.once('open', () => {
       const data = { credential: this.#credential };
       socket.send(JSON.stringify({ method: 'connectionParams', data }));
-      for (const text of this.#unsent.splice(0)) socket.send(text);
+      for (const text of this.#sendQueue.splice(0)) socket.send(text);
     });
     socket.on('message', (data: Buffer) => {
-      this.#take(data.toString());
+      this.#receive(data.toString());
     });
     socket.once('error', (error) => {
-      this.#lose(socket, error);
+      this.#disconnect(socket, error);
     });
     socket.once('close', () => {
-      this.#lose(socket, new Error('the connection was closed'));
+      this.#disconnect(socket, new Error('the connection to the control host was closed'));
     });
     return socket;
   }
 
-  #take(text: string): void {
-    const parsed = answerSchema.safeParse(JSON.parse(text));
+  #receive(text: string): void {
+    const parsed = responseSchema.safeParse(JSON.parse(text));
     if (!parsed.success) return;
     const { id, result, error } = parsed.data;
     const pending = this.#pending.get(id);
@@ -93,17 +92,17 @@
     else pending?.reject({ error });
   }
 
-  #lose(socket: WebSocket, error: Error): void {
+  #disconnect(socket: WebSocket, error: Error): void {
     if (this.#socket !== socket) return;
     this.#socket = undefined;
-    this.#unsent = [];
+    this.#sendQueue = [];
     const pending = [...this.#pending.values()];
     this.#pending.clear();
     for (const call of pending) call.reject(error);
   }
 }
 
-/** The tRPC link over a {@link ControlSocket}; a call ends with its signal. */
+/** Creates a tRPC link over a {@link ControlSocket}; aborting a call's signal cancels the call. */
 export function socketLink(socket: ControlSocket): TRPCLink<ControlRouter> {
   return () =>
     ({ op }) =>
@@ -123,7 +122,7 @@
         );
         const abort = () => {
           cancel();
-          fail(new Error('the call was given up'));
+          fail(new Error('the call was aborted'));
         };
         op.signal?.addEventListener('abort', abort, { once: true });
         return () => {
