--- a/src/entry/chat-answer.ts
+++ b/src/entry/chat-answer.ts
@@ -67,7 +67,7 @@
   }
 }
 
-/** Message fields that the model sees. Client libraries add others when they send an answer back. */
+/** Message fields that the model sees; client libraries add others when they resend an answer. */
 const MESSAGE_FIELDS = ['role', 'content', 'name', 'tool_calls', 'tool_call_id'] as const;
 
 /** Drops fields that the model does not see, so that a resent answer equals the stored one. */
--- a/src/entry/engine-turn.ts
+++ b/src/entry/engine-turn.ts
@@ -179,7 +179,10 @@
   return answer;
 }
 
-/** Adds an event to the answer and forwards it, without the finish reason: see {@link ChatStream}. */
+/**
+ * Adds an event to the answer and forwards it without its finish reason, which {@link ChatStream}
+ * sends only after the answer is stored.
+ */
 function processEvent(turn: EngineTurn, builder: AnswerBuilder, data: string): void {
   if (data === '[DONE]') return;
   const chunk = chatChunkSchema.parse(JSON.parse(data));
--- a/src/entry/program-ids.ts
+++ b/src/entry/program-ids.ts
@@ -36,7 +36,7 @@
     return programIdOf(random.hex(UNIQUE_BYTES), group?.name ?? '');
   }
 
-  /** Generates an id for a child program, in its parent's group, which holds their shared budget. */
+  /** Generates an id for a child program in the group that stores its parent and their budget. */
   createChild(parent: string): string {
     return programIdOf(this.#options.random.hex(UNIQUE_BYTES), requireGroup(parent));
   }
--- a/src/entry/route.ts
+++ b/src/entry/route.ts
@@ -12,7 +12,7 @@
   readonly excluded: ReadonlySet<string>;
 }
 
-/** Selects a target by the routing policy and logs the decision; throws a refusal if none is left. */
+/** Selects a target by the routing policy and logs the decision; refuses if none is available. */
 export function chooseTarget(
   context: EntryContext,
   configuration: Configuration,
--- a/src/entry/server.ts
+++ b/src/entry/server.ts
@@ -38,7 +38,10 @@
     return this.#context.configuration.current === undefined ? 'no configuration' : undefined;
   };
 
-  /** Makes `/readyz` fail and closes connections after use; resolves once no request is in flight. */
+  /**
+   * Makes `/readyz` fail and closes connections after their next response; resolves once no request
+   * is in flight.
+   */
   drain(): Promise<void> {
     this.#draining = true;
     return this.#inFlight.idle();
--- a/src/entry/sidecar-client.ts
+++ b/src/entry/sidecar-client.ts
@@ -24,7 +24,7 @@
   readonly headers: Readonly<Record<string, string | readonly string[]>>;
   readonly body: Buffer;
   readonly attempt: string;
-  /** Id of the program that the call belongs to. */
+  /** Id of the program whose history the target caches. */
   readonly program: string;
   /** Sidecar incarnation; undefined for a repeatable call. */
   readonly claim: string | undefined;
--- a/src/entry/step.ts
+++ b/src/entry/step.ts
@@ -183,7 +183,7 @@
   }
 }
 
-/** Fails with a retryable refusal when the sidecar does not answer: it may know the outcome later. */
+/** Throws a retryable refusal when the sidecar does not answer; it may know the outcome later. */
 async function askSidecar(
   context: EntryContext,
   target: Target,
@@ -205,7 +205,7 @@
   }
 }
 
-/** Stores a step's answer. If another entry took the step over, resolves with that entry's answer. */
+/** Stores a step's answer; resolves with the other entry's answer if one took the step over. */
 export async function completeStep(context: EntryContext, step: CompleteStep): Promise<Answer> {
   const outcome = await callControl('unknown', () =>
     context.control.call(
