--- a/src/storage/content-store.ts
+++ b/src/storage/content-store.ts
@@ -3,9 +3,9 @@
 import { messageOf } from '../core';
 import { StorageError } from './errors';
 import { type AppendFile, type FileSystem, NodeFileSystem } from './file-system';
-import { FILE_MARK, decodeOnlyFrame, encodeFrame } from './frame';
+import { FILE_HEADER, decodeSingleFrame, encodeFrame } from './frame';
 
-/** Where a content lies on this host's disk; offset and length in bytes. */
+/** Location of a text on this host's disk; offset and length in bytes. */
 export const contentPlaceSchema = z.object({
   file: z.int().positive(),
   offset: z.int().nonnegative(),
@@ -16,13 +16,13 @@
 export interface ContentStoreOptions {
   readonly folder: string;
   readonly fileSystem?: FileSystem;
-  /** Size from which a file is closed and the next one begun; bytes. */
+  /** File size in bytes at which the next write starts a new file. */
   readonly fileBytes?: number;
-  /** Texts used lately that stay in memory; characters. */
+  /** Size of the in-memory cache of recently used texts, in characters. */
   readonly cacheCharacters?: number;
-  /** Called once when a write fails. */
+  /** Called on the first write that fails. */
   readonly onFailure?: (error: StorageError) => void;
-  /** Called when a text can't be read back; it is lost on this host. */
+  /** Called when a stored text can't be read; its copy on this host is lost. */
   readonly onDamage?: (error: StorageError) => void;
 }
 
@@ -30,16 +30,15 @@
 const DEFAULT_CACHE_CHARACTERS = 32 * 1024 * 1024;
 const FILE_NAME = /^contents-(\d{10})$/;
 
-/** A content that is not on disk yet. */
-interface Unwritten {
+interface PendingWrite {
   readonly handle: number;
   readonly text: string;
 }
 
 /**
- * Texts on disk, by handle: what is too large to be held in memory and is read seldom. Texts are
- * written in the background; the log holds them until a snapshot, before which {@link flush} is
- * called, so that nothing rests on a text that could be lost.
+ * Stores large, rarely read texts on disk, by handle. Writes happen in the background: until a
+ * snapshot, the log still holds each text. Callers must {@link flush} before they write a snapshot
+ * that refers to the texts.
  */
 export class ContentStore {
   readonly #folder: string;
@@ -48,21 +47,21 @@
   readonly #cacheCharacters: number;
   readonly #onFailure: (error: StorageError) => void;
   readonly #onDamage: (error: StorageError) => void;
-  /** Where the texts lie; those not written yet are absent. */
-  readonly #places = new Map<number, ContentPlace>();
-  /** Number of texts in each file that are still in use. */
-  readonly #uses = new Map<number, number>();
-  readonly #unwritten = new Map<number, string>();
-  /** Texts used lately, the oldest first. */
+  /** Locations of the texts that are synced. */
+  readonly #locations = new Map<number, ContentPlace>();
+  /** Number of texts in use, by file number. */
+  readonly #referenceCounts = new Map<number, number>();
+  readonly #pendingTexts = new Map<number, string>();
+  /** Recently used texts, least recently used first. */
   readonly #cache = new Map<number, string>();
   #cachedCharacters = 0;
   #nextHandle = 1;
-  #nextFile = 1;
+  #nextFileNumber = 1;
   #file: AppendFile | undefined;
   #fileNumber = 0;
   #fileSize = 0;
-  #queue: Unwritten[] = [];
-  #writing: Promise<void> | undefined;
+  #queue: PendingWrite[] = [];
+  #activeWrite: Promise<void> | undefined;
   #failure: StorageError | undefined;
 
   constructor(options: ContentStoreOptions) {
@@ -74,11 +73,11 @@
     this.#onDamage = options.onDamage ?? (() => undefined);
   }
 
-  /** Finds out which files there are; new texts go into another one. Called once, first. */
+  /** Lists the existing files; new texts go into a new file. Must be called once, before any other. */
   async open(): Promise<void> {
     try {
       await this.#files.ensureFolder(this.#folder);
-      for (const number of await this.#numbers()) this.#countFile(number);
+      for (const number of await this.#listFileNumbers()) this.#registerFile(number);
     } catch (error) {
       const message = `can't be opened; check the folder, its permissions and space: ${messageOf(error)}`;
       throw StorageError.at(this.#folder, 'unopenable', message, error);
@@ -86,82 +85,84 @@
   }
 
   async close(): Promise<void> {
-    await this.#writing;
+    await this.#activeWrite;
     await this.#file?.close();
     this.#file = undefined;
   }
 
-  /** Takes a text; returns its handle at once. */
+  /** Queues a text to be written and returns its handle. */
   put(text: string): number {
     const handle = this.#nextHandle;
     this.putAs(handle, text);
     return handle;
   }
 
-  /** Takes a text under the handle that another host gave it. */
+  /** Like {@link put}, under a handle that another host assigned. */
   putAs(handle: number, text: string): void {
     this.#nextHandle = Math.max(this.#nextHandle, handle + 1);
-    this.#unwritten.set(handle, text);
-    this.#remember(handle, text);
+    this.#pendingTexts.set(handle, text);
+    this.#addToCache(handle, text);
     this.#queue.push({ handle, text });
-    this.#writing ??= this.#write();
+    this.#activeWrite ??= this.#drainQueue();
   }
 
-  /** Takes over a text that was written before a restart. */
-  adopt(handle: number, place: ContentPlace): void {
+  /** Registers a text that was written before a restart. */
+  adopt(handle: number, location: ContentPlace): void {
     this.#nextHandle = Math.max(this.#nextHandle, handle + 1);
-    this.#countFile(place.file);
-    this.#setPlace(handle, place);
+    this.#registerFile(location.file);
+    this.#setLocation(handle, location);
   }
 
   has(handle: number): boolean {
-    return this.#places.has(handle) || this.#unwritten.has(handle);
+    return this.#locations.has(handle) || this.#pendingTexts.has(handle);
   }
 
-  /** Reads a text; rejects with a `damaged` {@link StorageError} if it is not what was written. */
+  /** Rejects with a `damaged` {@link StorageError} if the text is unknown, unreadable or corrupt. */
   async get(handle: number): Promise<string> {
-    const known = this.#cache.get(handle) ?? this.#unwritten.get(handle);
-    const text = known ?? (await this.#read(handle));
-    this.#remember(handle, text);
+    const cached = this.#cache.get(handle) ?? this.#pendingTexts.get(handle);
+    const text = cached ?? (await this.#read(handle));
+    this.#addToCache(handle, text);
     return text;
   }
 
-  /** Where a written text lies, for a snapshot; call {@link flush} first. */
+  /** Location of a text, for a snapshot; `undefined` until the text is synced, see {@link flush}. */
   placeOf(handle: number): ContentPlace | undefined {
-    return this.#places.get(handle);
+    return this.#locations.get(handle);
   }
 
   drop(handle: number): void {
-    const place = this.#places.get(handle);
-    if (place !== undefined) this.#uses.set(place.file, (this.#uses.get(place.file) ?? 1) - 1);
-    this.#places.delete(handle);
-    this.#unwritten.delete(handle);
-    this.#forget(handle);
+    const location = this.#locations.get(handle);
+    if (location !== undefined)
+      this.#referenceCounts.set(location.file, (this.#referenceCounts.get(location.file) ?? 1) - 1);
+    this.#locations.delete(handle);
+    this.#pendingTexts.delete(handle);
+    this.#removeFromCache(handle);
   }
 
-  /** Drops everything: a snapshot takes its place. */
+  /** Drops all texts, before a snapshot is loaded. */
   reset(): void {
-    for (const handle of [...this.#places.keys(), ...this.#unwritten.keys()]) this.drop(handle);
+    for (const handle of [...this.#locations.keys(), ...this.#pendingTexts.keys()])
+      this.drop(handle);
   }
 
-  /** Resolves once every text taken so far is synced. */
+  /** Resolves once all queued texts are synced; rejects if a write failed. */
   async flush(): Promise<void> {
-    while (this.#writing !== undefined) await this.#writing;
+    while (this.#activeWrite !== undefined) await this.#activeWrite;
     if (this.#failure !== undefined) throw this.#failure;
   }
 
-  /** Files that hold nothing in use now. */
+  /** Numbers of the closed files without a text in use. */
   unusedFiles(): readonly number[] {
-    return [...this.#uses]
-      .filter(([number, uses]) => uses === 0 && number !== this.#fileNumber)
+    return [...this.#referenceCounts]
+      .filter(([number, count]) => count === 0 && number !== this.#fileNumber)
       .map(([number]) => number);
   }
 
-  /** Removes files that no snapshot on disk needs any more. */
+  /** Removes files, except those with a text in use. No snapshot on disk may refer to them. */
   async removeFiles(numbers: readonly number[]): Promise<void> {
     for (const number of numbers) {
-      if ((this.#uses.get(number) ?? 0) > 0) continue;
-      this.#uses.delete(number);
+      if ((this.#referenceCounts.get(number) ?? 0) > 0) continue;
+      this.#referenceCounts.delete(number);
       await this.#files.remove(this.#path(number));
     }
   }
@@ -170,28 +171,29 @@
     return join(this.#folder, `contents-${String(number).padStart(10, '0')}`);
   }
 
-  async #numbers(): Promise<readonly number[]> {
+  async #listFileNumbers(): Promise<readonly number[]> {
     const names = await this.#files.list(this.#folder);
     return names.flatMap((name) => FILE_NAME.exec(name)?.[1] ?? []).map(Number);
   }
 
-  #countFile(number: number): void {
-    this.#nextFile = Math.max(this.#nextFile, number + 1);
-    if (!this.#uses.has(number)) this.#uses.set(number, 0);
+  #registerFile(number: number): void {
+    this.#nextFileNumber = Math.max(this.#nextFileNumber, number + 1);
+    if (!this.#referenceCounts.has(number)) this.#referenceCounts.set(number, 0);
   }
 
-  #setPlace(handle: number, place: ContentPlace): void {
-    this.#places.set(handle, place);
-    this.#uses.set(place.file, (this.#uses.get(place.file) ?? 0) + 1);
+  #setLocation(handle: number, location: ContentPlace): void {
+    this.#locations.set(handle, location);
+    this.#referenceCounts.set(location.file, (this.#referenceCounts.get(location.file) ?? 0) + 1);
   }
 
   async #read(handle: number): Promise<string> {
-    const place = this.#places.get(handle);
-    if (place === undefined) throw this.#damaged(this.#folder, `content ${handle} is not known`);
-    const file = this.#path(place.file);
-    const bytes = await this.#readBytes(file, place);
-    const records = decodeOnlyFrame(bytes);
-    if (records === undefined) throw this.#damaged(file, `damaged at byte ${place.offset}`);
+    const location = this.#locations.get(handle);
+    if (location === undefined)
+      throw this.#reportDamage(this.#folder, `no text is stored under handle ${handle}`);
+    const file = this.#path(location.file);
+    const bytes = await this.#readBytes(file, location);
+    const records = decodeSingleFrame(bytes);
+    if (records === undefined) throw this.#reportDamage(file, `damaged at byte ${location.offset}`);
     return records.join('\n');
   }
 
@@ -199,24 +201,24 @@
     try {
       return await this.#files.readAt(file, offset, length);
     } catch (error) {
-      throw this.#damaged(file, `can't be read: ${messageOf(error)}`, error);
+      throw this.#reportDamage(file, `can't be read: ${messageOf(error)}`, error);
     }
   }
 
-  #damaged(path: string, what: string, cause?: unknown): StorageError {
-    const message = `${what}; restart: the member is filled again from its peers, if it has any`;
+  #reportDamage(path: string, problem: string, cause?: unknown): StorageError {
+    const message = `${problem}; restart: the member copies its records from its peers, if it has any`;
     const error = StorageError.at(path, 'damaged', message, cause);
     this.#onDamage(error);
     return error;
   }
 
-  async #write(): Promise<void> {
+  async #drainQueue(): Promise<void> {
     try {
       while (this.#queue.length > 0) await this.#writeBatch();
     } catch (error) {
-      this.#fail(error);
+      this.#recordFailure(error);
     }
-    this.#writing = undefined;
+    this.#activeWrite = undefined;
   }
 
   async #writeBatch(): Promise<void> {
@@ -228,45 +230,45 @@
     await file.sync();
     batch.forEach(({ handle }, index) => {
       const length = frames[index]?.length ?? 0;
-      const place = { file: this.#fileNumber, offset: this.#fileSize, length };
+      const location = { file: this.#fileNumber, offset: this.#fileSize, length };
       this.#fileSize += length;
-      if (this.#unwritten.delete(handle)) this.#setPlace(handle, place);
+      if (this.#pendingTexts.delete(handle)) this.#setLocation(handle, location);
     });
   }
 
   async #currentFile(): Promise<AppendFile> {
     if (this.#file !== undefined && this.#fileSize < this.#fileBytes) return this.#file;
     await this.#file?.close();
-    const number = this.#nextFile;
-    this.#countFile(number);
+    const number = this.#nextFileNumber;
+    this.#registerFile(number);
     const file = await this.#files.create(this.#path(number));
-    await file.append(FILE_MARK);
+    await file.append(FILE_HEADER);
     await file.sync();
     await this.#files.syncFolder(this.#folder);
     this.#file = file;
     this.#fileNumber = number;
-    this.#fileSize = FILE_MARK.length;
+    this.#fileSize = FILE_HEADER.length;
     return file;
   }
 
-  #fail(error: unknown): void {
+  #recordFailure(error: unknown): void {
     if (this.#failure !== undefined) return;
-    const message = `can't be written; free space or mend the disk, then restart: ${messageOf(error)}`;
+    const message = `can't be written; free disk space or repair the disk, then restart: ${messageOf(error)}`;
     this.#failure = StorageError.at(this.#folder, 'unwritable', message, error);
     this.#onFailure(this.#failure);
   }
 
-  #remember(handle: number, text: string): void {
-    this.#forget(handle);
+  #addToCache(handle: number, text: string): void {
+    this.#removeFromCache(handle);
     this.#cache.set(handle, text);
     this.#cachedCharacters += text.length;
     for (const oldest of this.#cache.keys()) {
       if (this.#cachedCharacters <= this.#cacheCharacters) return;
-      this.#forget(oldest);
+      this.#removeFromCache(oldest);
     }
   }
 
-  #forget(handle: number): void {
+  #removeFromCache(handle: number): void {
     const text = this.#cache.get(handle);
     if (text === undefined) return;
     this.#cache.delete(handle);
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -2,46 +2,44 @@
 import { type FileHandle, mkdir, open, readFile, readdir, rename, rm } from 'node:fs/promises';
 import { dirname } from 'node:path';
 
-/** A file that is being written at its end. */
 export interface AppendFile {
-  /** Writes all bytes; they last once {@link sync} has resolved. */
+  /** Writes all bytes; they are durable once {@link sync} has resolved. */
   append(bytes: Buffer): Promise<void>;
   sync(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** What the storage needs of a disk; every method rejects with the system's own error. */
+/** File operations of the stores; each method rejects with the operating system's error. */
 export interface FileSystem {
-  /** Makes a folder that lasts, with those above it. */
+  /** Creates a folder and its parents, and syncs their directory entries. */
   ensureFolder(folder: string): Promise<void>;
   list(folder: string): Promise<readonly string[]>;
   read(file: string): Promise<Buffer>;
-  /** Reads a part of a file; shorter where the file ends. */
+  /** Reads up to `length` bytes; fewer at the end of the file. */
   readAt(file: string, offset: number, length: number): Promise<Buffer>;
-  /** Makes an empty file; its name lasts once the folder is synced. */
+  /** Creates an empty file; its directory entry is durable after {@link syncFolder}. */
   create(file: string): Promise<AppendFile>;
-  /** Makes an empty file of which each write is to last at once; {@link AppendFile.sync} is free. */
+  /** Like {@link create}, with synchronous writes where the platform allows it. */
   createSynchronous(file: string): Promise<AppendFile>;
-  /** Opens such a file for appending after cutting it to `length` bytes. */
-  openAt(file: string, length: number): Promise<AppendFile>;
+  /** Truncates a file to `length` bytes and opens it for synchronous appends. */
+  openForAppend(file: string, length: number): Promise<AppendFile>;
   rename(from: string, to: string): Promise<void>;
-  /** Removes a file or folder, if it is there. */
+  /** Removes a file, or a folder with its contents; missing paths are ignored. */
   remove(path: string): Promise<void>;
   syncFolder(folder: string): Promise<void>;
 }
 
-/** Files and folders are for their owner alone: they hold callers' keys and what programs said. */
+/** Permissions for the owner alone, as the files hold key digests and message histories. */
 const OWNER_ONLY = { file: 0o600, folder: 0o700 } as const;
 
 export interface NodeFileSystemOptions {
   /**
-   * Whether files are opened so that each write lasts by itself (O_DSYNC), which saves a call.
-   * Where that is not known to be honoured, each write is followed by `fdatasync`.
+   * Whether files for synchronous writes are opened with `O_DSYNC`. Disable it on platforms that
+   * may ignore the flag: {@link AppendFile.sync} then calls `fdatasync`.
    */
   readonly synchronousWrites?: boolean;
 }
 
-/** The machine's disk. */
 export class NodeFileSystem implements FileSystem {
   readonly #synchronousWrites: boolean;
 
@@ -86,7 +84,7 @@
     return new NodeAppendFile(handle, this.#synchronousWrites);
   }
 
-  async openAt(file: string, length: number): Promise<AppendFile> {
+  async openForAppend(file: string, length: number): Promise<AppendFile> {
     const { O_WRONLY, O_APPEND } = constants;
     const handle = await open(file, O_WRONLY | O_APPEND | this.#synchronousFlag);
     await handle.truncate(length);
--- a/src/storage/quarantining-store.ts
+++ b/src/storage/quarantining-store.ts
@@ -5,15 +5,16 @@
 import { SegmentedStore, type SegmentedStoreOptions } from './segmented-store';
 
 export interface QuarantiningStoreOptions extends SegmentedStoreOptions {
-  /** Whether others hold what this store may lose. */
+  /** Whether other members hold copies of the records, so that this store may start empty. */
   readonly mayQuarantine: boolean;
-  /** Told of the damage and of the folder that keeps it. */
+  /** Called with the error and the folder that the damaged files were moved to. */
   readonly onQuarantine: (error: StorageError, movedTo: string) => void;
 }
 
 /**
- * A segmented store that is moved aside when it is damaged, and begun anew, so that its owner is
- * filled again by its peers. Nothing is removed: an operator may look at it and does so.
+ * A segmented store that, when {@link load} finds it damaged, renames its folder to
+ * `FOLDER.damaged-N` and starts empty, so that its owner can copy the records from its peers. The
+ * damaged folder is kept until an operator removes it.
  */
 export class QuarantiningStore implements RecordStore {
   readonly #options: QuarantiningStoreOptions;
@@ -28,8 +29,8 @@
     try {
       return await this.#store.load();
     } catch (error) {
-      if (!this.#options.mayQuarantine || !isDamage(error)) throw error;
-      const movedTo = await this.#moveAside();
+      if (!this.#options.mayQuarantine || !isDamageError(error)) throw error;
+      const movedTo = await this.#quarantine();
       this.#options.onQuarantine(error, movedTo);
       this.#store = new SegmentedStore(this.#options);
       return this.#store.load();
@@ -48,7 +49,7 @@
     return this.#store.close();
   }
 
-  async #moveAside(): Promise<string> {
+  async #quarantine(): Promise<string> {
     const { folder, fileSystem = new NodeFileSystem() } = this.#options;
     const parent = dirname(folder);
     const names = await fileSystem.list(parent);
@@ -61,6 +62,6 @@
   }
 }
 
-function isDamage(error: unknown): error is StorageError {
+function isDamageError(error: unknown): error is StorageError {
   return error instanceof StorageError && error.issues.some((issue) => issue.code === 'damaged');
 }
--- a/src/storage/record-store.ts
+++ b/src/storage/record-store.ts
@@ -1,30 +1,29 @@
-/** Everything that a store holds. */
 export interface StoredRecords {
-  /** Rows of the newest snapshot; nothing before the first. */
+  /** Rows of the newest snapshot; `undefined` if there is none. */
   readonly snapshot: readonly string[] | undefined;
-  /** Records that the snapshot does not make needless, in the order they were appended. */
+  /** Records that follow the snapshot, in the order they were appended. */
   readonly records: readonly string[];
 }
 
-/** How a snapshot takes the place of records. */
+/** A snapshot that replaces the records appended so far. */
 export interface Compaction {
   readonly snapshot: Iterable<string>;
-  /** Records that stand behind the snapshot in place of all earlier ones. */
+  /** Records that follow the snapshot and replace all earlier ones. */
   readonly records: readonly string[];
   /**
-   * Whether appends that follow wait until the snapshot is synced. They must when they rest on a
-   * snapshot that the records stored so far do not lead to.
+   * Whether later appends wait until the snapshot is synced. Required when the snapshot can't be
+   * rebuilt from the records stored so far, as later records depend on it.
    */
   readonly exclusive: boolean;
 }
 
-/** An ordered, durable list of records, whose beginning a snapshot can replace; texts without line feeds. */
+/** A durable log of records, of which a snapshot can replace a prefix. Records hold no line feeds. */
 export interface RecordStore {
-  /** Reads everything; called once, before the first append. */
+  /** Must be called once, before the first append. */
   load(): Promise<StoredRecords>;
-  /** Resolves once the records are synced, in the order of the calls. */
+  /** Resolves once the records are synced; concurrent calls keep their order. */
   append(records: readonly string[]): Promise<void>;
-  /** Resolves once the snapshot is synced and what it replaces is gone. */
+  /** Resolves once the snapshot is synced and the files that it replaces are removed. */
   compact(compaction: Compaction): Promise<void>;
   close(): Promise<void>;
 }
--- a/src/storage/segmented-store.ts
+++ b/src/storage/segmented-store.ts
@@ -3,53 +3,52 @@
 import { messageOf } from '../core';
 import { StorageError } from './errors';
 import { type AppendFile, type FileSystem, NodeFileSystem } from './file-system';
-import { FILE_MARK, decodeFile, encodeFrame } from './frame';
+import { FILE_HEADER, decodeFile, encodeFrame } from './frame';
 import type { Compaction, RecordStore, StoredRecords } from './record-store';
 
 export interface SegmentedStoreOptions {
   readonly folder: string;
   readonly fileSystem?: FileSystem;
-  /** Size from which a segment is closed and the next one begun; bytes. */
+  /** Segment size in bytes above which the next write starts a new segment. */
   readonly segmentBytes?: number;
-  /** Told of a last frame that was cut off, since a crash kept it from being synced. */
+  /** Called by {@link SegmentedStore.load} with the size of an incomplete last frame, which it removes. */
   readonly onTornTail?: (file: string, bytes: number) => void;
 }
 
 const DEFAULT_SEGMENT_BYTES = 16 * 1024 * 1024;
 
-/** Rows of one frame of a snapshot. */
-const SNAPSHOT_FRAME_ROWS = 1024;
+const ROWS_PER_SNAPSHOT_FRAME = 1024;
 
-const SNAPSHOT = 'snapshot';
-const UNFINISHED_SNAPSHOT = 'snapshot.unfinished';
+const SNAPSHOT_FILE = 'snapshot';
+const UNFINISHED_SNAPSHOT_FILE = 'snapshot.unfinished';
 
-/** Stands in a folder whose records are whole but of no use, since what they refer to is not. */
-const DAMAGE_MARK = 'damaged';
+/** Marker file: the records are intact, but content that they refer to is damaged. */
+const DAMAGE_MARKER_FILE = 'damaged';
 const SEGMENT_NAME = /^segment-(\d{10})$/;
 
-/** First row of a snapshot file. */
+/** First record of a snapshot file; the segments from `firstSegment` on follow the snapshot. */
 const snapshotHeaderSchema = z.object({ firstSegment: z.int().positive() });
 
-const MEND =
-  'move the folder away and restart: the member is filled again from its peers, if it has any';
+const REPAIR_INSTRUCTIONS =
+  'move the folder away and restart: the member copies its records from its peers, if it has any';
 
-interface Asker {
+interface Completion {
   readonly resolve: () => void;
   readonly reject: (error: StorageError) => void;
 }
 
-/** Work on the files, carried out in the order it was asked for. */
-type Work = Asker &
+/** A queued operation on the files; operations run in the order of the calls. */
+type Operation = Completion &
   (
     | { readonly kind: 'append'; readonly records: readonly string[] }
     | { readonly kind: 'task'; readonly run: () => Promise<void> }
   );
 
 /**
- * Records in numbered segments of one folder, behind a snapshot. Appends that arrive during a sync
- * share the next one and its frame. A torn last frame is cut off, since it was never acknowledged;
- * damage before it is refused. After a failed write the store refuses everything: the state of its
- * files is not known.
+ * A snapshot and numbered log segments in one folder. Appends that arrive during a sync are written
+ * in one frame with one sync (group commit). On load, an incomplete last frame is truncated, as it
+ * was never acknowledged; any earlier damage is an error. After a failed write, the state of the
+ * files is unknown and all later operations are rejected.
  */
 export class SegmentedStore implements RecordStore {
   readonly #folder: string;
@@ -59,9 +58,9 @@
   #segment = 0;
   #segmentSize = 0;
   #file: AppendFile | undefined;
-  #queue: Work[] = [];
-  #working: Promise<void> | undefined;
-  #background: Promise<void> = Promise.resolve();
+  #queue: Operation[] = [];
+  #activeDrain: Promise<void> | undefined;
+  #pendingSnapshot: Promise<void> = Promise.resolve();
   #failure: StorageError | undefined;
 
   constructor(options: SegmentedStoreOptions) {
@@ -74,13 +73,13 @@
   async load(): Promise<StoredRecords> {
     try {
       await this.#files.ensureFolder(this.#folder);
-      await this.#files.remove(this.#path(UNFINISHED_SNAPSHOT));
+      await this.#files.remove(this.#path(UNFINISHED_SNAPSHOT_FILE));
       const names = await this.#files.list(this.#folder);
-      if (names.includes(DAMAGE_MARK)) {
-        const message = `was found to be damaged before; ${MEND}`;
-        throw StorageError.at(this.#path(DAMAGE_MARK), 'damaged', message);
+      if (names.includes(DAMAGE_MARKER_FILE)) {
+        const message = `damage was found by an earlier run; ${REPAIR_INSTRUCTIONS}`;
+        throw StorageError.at(this.#path(DAMAGE_MARKER_FILE), 'damaged', message);
       }
-      const snapshot = names.includes(SNAPSHOT) ? await this.#readSnapshot() : undefined;
+      const snapshot = names.includes(SNAPSHOT_FILE) ? await this.#readSnapshot() : undefined;
       const records = await this.#readSegments(names, snapshot?.firstSegment ?? 1);
       return { snapshot: snapshot?.rows, records };
     } catch (error) {
@@ -103,18 +102,20 @@
       await this.#beginSegment(this.#segment + 1);
       if (compaction.records.length > 0) await this.#writeFrame(compaction.records);
       const firstSegment = this.#segment;
-      replaced = this.#background.then(() => this.#replace(compaction.snapshot, firstSegment));
-      this.#background = replaced.catch(() => undefined);
+      replaced = this.#pendingSnapshot.then(() =>
+        this.#replaceSnapshot(compaction.snapshot, firstSegment),
+      );
+      this.#pendingSnapshot = replaced.catch(() => undefined);
       if (compaction.exclusive) await replaced;
     });
     await replaced.catch((error: unknown) => {
-      throw this.#fail(error);
+      throw this.#recordFailure(error);
     });
   }
 
   async close(): Promise<void> {
-    await this.#working;
-    await this.#background;
+    await this.#activeDrain;
+    await this.#pendingSnapshot;
     await this.#file?.close();
     this.#file = undefined;
   }
@@ -124,16 +125,16 @@
   }
 
   async #readSnapshot(): Promise<{ readonly firstSegment: number; readonly rows: string[] }> {
-    const file = this.#path(SNAPSHOT);
+    const file = this.#path(SNAPSHOT_FILE);
     const bytes = await this.#files.read(file);
     checkFormat(file, bytes);
     const { records, end } = decodeFile(bytes);
     const [header, ...rows] = records;
-    if (end < bytes.length || header === undefined) throw damagedAt(file, end);
+    if (end < bytes.length || header === undefined) throw damagedFileError(file, end);
     return { ...snapshotHeaderSchema.parse(JSON.parse(header)), rows };
   }
 
-  /** Reads the segments from `first` on; what is older, a crash kept from being removed. */
+  /** Reads the segments from `first` on; removes older ones that a crash left behind. */
   async #readSegments(names: readonly string[], first: number): Promise<readonly string[]> {
     const numbers = names
       .flatMap((name) => SEGMENT_NAME.exec(name)?.[1] ?? [])
@@ -146,7 +147,7 @@
     needed.forEach((number, index) => {
       if (number === first + index) return;
       const file = this.#path(segmentName(first + index));
-      throw StorageError.at(file, 'damaged', `is missing; ${MEND}`);
+      throw StorageError.at(file, 'damaged', `is missing; ${REPAIR_INSTRUCTIONS}`);
     });
     if (needed.length === 0) {
       await this.#beginSegment(first);
@@ -163,46 +164,47 @@
   async #readSegment(number: number, last: boolean): Promise<readonly string[]> {
     const file = this.#path(segmentName(number));
     const bytes = await this.#files.read(file);
-    if (last && bytes.length < FILE_MARK.length) {
+    if (last && bytes.length < FILE_HEADER.length) {
       await this.#beginSegment(number);
       return [];
     }
     checkFormat(file, bytes);
-    const { records, end, damagedAt: damage } = decodeFile(bytes);
-    if (damage !== undefined || (!last && end < bytes.length)) throw damagedAt(file, end);
+    const { records, end, damagedOffset } = decodeFile(bytes);
+    if (damagedOffset !== undefined || (!last && end < bytes.length))
+      throw damagedFileError(file, end);
     if (last) {
       if (end < bytes.length) this.#onTornTail(file, bytes.length - end);
-      this.#file = await this.#files.openAt(file, end);
+      this.#file = await this.#files.openForAppend(file, end);
       this.#segment = number;
       this.#segmentSize = end;
     }
     return records;
   }
 
-  /** Closes the present segment, whose frames are all synced, and begins another. */
+  /** Closes the current segment, whose frames are all synced, and creates another. */
   async #beginSegment(number: number): Promise<void> {
     const previous = this.#file;
     const file = await this.#files.createSynchronous(this.#path(segmentName(number)));
     this.#file = file;
     this.#segment = number;
-    this.#segmentSize = FILE_MARK.length;
-    await file.append(FILE_MARK);
+    this.#segmentSize = FILE_HEADER.length;
+    await file.append(FILE_HEADER);
     await file.sync();
     await this.#files.syncFolder(this.#folder);
     await previous?.close();
   }
 
-  /** Puts a snapshot in place at once or not at all, then removes what it makes needless. */
-  async #replace(rows: Iterable<string>, firstSegment: number): Promise<void> {
-    const unfinished = this.#path(UNFINISHED_SNAPSHOT);
+  /** Replaces the snapshot atomically, then removes the segments before `firstSegment`. */
+  async #replaceSnapshot(rows: Iterable<string>, firstSegment: number): Promise<void> {
+    const unfinished = this.#path(UNFINISHED_SNAPSHOT_FILE);
     const file = await this.#files.create(unfinished);
-    await file.append(FILE_MARK);
-    for (const part of inParts([JSON.stringify({ firstSegment })], rows)) {
+    await file.append(FILE_HEADER);
+    for (const part of groupByFrame([JSON.stringify({ firstSegment })], rows)) {
       await file.append(encodeFrame(part));
     }
     await file.sync();
     await file.close();
-    await this.#files.rename(unfinished, this.#path(SNAPSHOT));
+    await this.#files.rename(unfinished, this.#path(SNAPSHOT_FILE));
     await this.#files.syncFolder(this.#folder);
     for (const name of await this.#files.list(this.#folder)) {
       const number = Number(SEGMENT_NAME.exec(name)?.[1] ?? Infinity);
@@ -216,30 +218,30 @@
     });
   }
 
-  #enqueue(work: Work): void {
-    this.#queue.push(work);
-    this.#working ??= this.#work();
+  #enqueue(operation: Operation): void {
+    this.#queue.push(operation);
+    this.#activeDrain ??= this.#drainQueue();
   }
 
-  async #work(): Promise<void> {
+  async #drainQueue(): Promise<void> {
     for (;;) {
-      const batch = this.#takeAppends();
+      const batch = this.#dequeueAppends();
       if (batch.length > 0) {
         const records = batch.flatMap((append) => append.records);
-        await this.#carryOut(batch, () => this.#writeFrame(records));
+        await this.#execute(batch, () => this.#writeFrame(records));
       }
       const next = this.#queue[0];
       if (next === undefined) break;
       if (next.kind === 'append') continue;
       this.#queue.shift();
-      await this.#carryOut([next], next.run);
+      await this.#execute([next], next.run);
     }
-    this.#working = undefined;
+    this.#activeDrain = undefined;
   }
 
-  /** Takes the appends at the head of the queue, which share one frame and one sync. */
-  #takeAppends(): readonly Extract<Work, { kind: 'append' }>[] {
-    const batch: Extract<Work, { kind: 'append' }>[] = [];
+  /** Removes the appends at the head of the queue, to be written in one frame. */
+  #dequeueAppends(): readonly Extract<Operation, { kind: 'append' }>[] {
+    const batch: Extract<Operation, { kind: 'append' }>[] = [];
     for (let next = this.#queue[0]; next?.kind === 'append'; next = this.#queue[0]) {
       batch.push(next);
       this.#queue.shift();
@@ -247,20 +249,24 @@
     return batch;
   }
 
-  async #carryOut(askers: readonly Asker[], run: () => Promise<void>): Promise<void> {
+  async #execute(completions: readonly Completion[], run: () => Promise<void>): Promise<void> {
     try {
       if (this.#failure !== undefined) throw this.#failure;
       await run();
-      for (const asker of askers) asker.resolve();
+      for (const completion of completions) completion.resolve();
     } catch (error) {
-      const failure = this.#fail(error);
-      for (const asker of askers) asker.reject(failure);
+      const failure = this.#recordFailure(error);
+      for (const completion of completions) completion.reject(failure);
     }
   }
 
   async #writeFrame(records: readonly string[]): Promise<void> {
     if (this.#file === undefined) {
-      throw StorageError.at(this.#folder, 'not_open', 'the log is not open');
+      throw StorageError.at(
+        this.#folder,
+        'not_open',
+        'the store is not open; call load() before it is used',
+      );
     }
     if (this.#segmentSize > this.#segmentBytes) await this.#beginSegment(this.#segment + 1);
     const frame = encodeFrame(records);
@@ -269,23 +275,23 @@
     this.#segmentSize += frame.length;
   }
 
-  #fail(error: unknown): StorageError {
-    this.#failure ??= error instanceof StorageError ? error : this.#unwritable(error);
+  #recordFailure(error: unknown): StorageError {
+    this.#failure ??= error instanceof StorageError ? error : this.#createWriteError(error);
     return this.#failure;
   }
 
-  #unwritable(error: unknown): StorageError {
-    const message = `can't be written; free space or mend the disk, then restart: ${messageOf(error)}`;
+  #createWriteError(error: unknown): StorageError {
+    const message = `can't be written; free disk space or repair the disk, then restart: ${messageOf(error)}`;
     return StorageError.at(this.#folder, 'unwritable', message, error);
   }
 }
 
-/** Marks a store's folder as damaged, so that the next load refuses it. */
+/** Marks a store's folder as damaged, so that the next {@link SegmentedStore.load} rejects. */
 export async function markDamaged(
   folder: string,
   fileSystem: FileSystem = new NodeFileSystem(),
 ): Promise<void> {
-  const file = await fileSystem.create(join(folder, DAMAGE_MARK));
+  const file = await fileSystem.create(join(folder, DAMAGE_MARKER_FILE));
   await file.sync();
   await file.close();
   await fileSystem.syncFolder(folder);
@@ -296,21 +302,25 @@
 }
 
 function checkFormat(file: string, bytes: Buffer): void {
-  if (bytes.subarray(0, FILE_MARK.length).equals(FILE_MARK)) return;
-  const message = 'not of format 2; run the version that wrote it or move the folder away';
+  if (bytes.subarray(0, FILE_HEADER.length).equals(FILE_HEADER)) return;
+  const message =
+    'not a log file of format 2; run the version that wrote it or move the folder away';
   throw StorageError.at(file, 'unknown_format', message);
 }
 
-function damagedAt(file: string, offset: number): StorageError {
-  return StorageError.at(file, 'damaged', `damaged at byte ${offset}; ${MEND}`);
+function damagedFileError(file: string, offset: number): StorageError {
+  return StorageError.at(file, 'damaged', `damaged at byte ${offset}; ${REPAIR_INSTRUCTIONS}`);
 }
 
-/** Cuts rows into parts of bounded length, so that a large snapshot is encoded piece by piece. */
-function* inParts(first: readonly string[], rows: Iterable<string>): Generator<readonly string[]> {
+/** Groups rows by frame, so that a large snapshot is never encoded as a whole. */
+function* groupByFrame(
+  first: readonly string[],
+  rows: Iterable<string>,
+): Generator<readonly string[]> {
   let part = [...first];
   for (const row of rows) {
     part.push(row);
-    if (part.length < SNAPSHOT_FRAME_ROWS) continue;
+    if (part.length < ROWS_PER_SNAPSHOT_FRAME) continue;
     yield part;
     part = [];
   }
--- a/src/storage/tests/content-store.test.ts
+++ b/src/storage/tests/content-store.test.ts
@@ -4,7 +4,7 @@
 
 const FOLDER = '/data/contents';
 
-describe('a content store', () => {
+describe('ContentStore', () => {
   let disk: MemoryDisk;
 
   beforeEach(() => {
@@ -18,7 +18,7 @@
     return store;
   }
 
-  it('gives texts back before and after they are written', async () => {
+  it('reads texts before and after they are written to disk', async () => {
     const store = await open();
     const handles = ['one', 'two\nlines', ''].map((text) => store.put(text || ' '));
     expect(await store.get(handles[1] ?? 0)).toBe('two\nlines');
@@ -30,19 +30,19 @@
     ]);
   });
 
-  it('keeps what was flushed over a loss of power, by its place', async () => {
+  it('reads a flushed text by its location after a power loss, and assigns a new handle next', async () => {
     const store = await open();
     const handle = store.put('kept');
     await store.flush();
-    const place = store.placeOf(handle);
+    const location = store.placeOf(handle);
     disk.crash(new SeededRandom(1));
-    const again = await open();
-    if (place !== undefined) again.adopt(handle, place);
-    expect(await again.get(handle)).toBe('kept');
-    expect(again.put('new')).toBe(handle + 1);
+    const reopened = await open();
+    if (location !== undefined) reopened.adopt(handle, location);
+    expect(await reopened.get(handle)).toBe('kept');
+    expect(reopened.put('new')).toBe(handle + 1);
   });
 
-  it('removes files only once nothing in them is in use', async () => {
+  it('removes only files without a text in use', async () => {
     const store = await open({ fileBytes: 10 });
     const first = store.put('first');
     await store.flush();
@@ -57,31 +57,31 @@
     expect(await store.get(second)).toBe('second');
   });
 
-  it('refuses a text that is not what was written', async () => {
+  it('rejects with `damaged` when the stored bytes changed', async () => {
     const store = await open();
     const handle = store.put('a text');
     await store.flush();
-    disk.flip(`${FOLDER}/contents-0000000001`, 22);
+    disk.flipBit(`${FOLDER}/contents-0000000001`, 22);
     await expect(store.get(handle)).rejects.toMatchObject({ issues: [{ code: 'damaged' }] });
   });
 
-  it('holds in memory only as much as it may', async () => {
+  it('evicts the least recently used text above the cache size', async () => {
     const store = await open({ cacheCharacters: 10 });
     const [first, second] = [store.put('12345678'), store.put('abcdefgh')];
     await store.flush();
-    disk.flip(`${FOLDER}/contents-0000000001`, 22);
+    disk.flipBit(`${FOLDER}/contents-0000000001`, 22);
     expect(await store.get(second)).toBe('abcdefgh');
     await expect(store.get(first)).rejects.toThrow('damaged');
   });
 
-  it('fails a flush on a full disk, tells of it once, and still has the texts', async () => {
+  it('rejects each flush on a full disk, reports one failure and still returns the texts', async () => {
     const failures: string[] = [];
     const store = await open({ onFailure: (error) => failures.push(error.message) });
     disk.full = true;
     const handle = store.put('a text');
-    await expect(store.flush()).rejects.toThrow('free space or mend the disk');
+    await expect(store.flush()).rejects.toThrow('free disk space or repair the disk');
     store.put('another');
-    await expect(store.flush()).rejects.toThrow('free space');
+    await expect(store.flush()).rejects.toThrow('free disk space');
     expect(failures).toHaveLength(1);
     expect(await store.get(handle)).toBe('a text');
   });
--- a/src/storage/tests/disk.ts
+++ b/src/storage/tests/disk.ts
@@ -2,106 +2,108 @@
 import type { RandomSource } from '../../core';
 import type { AppendFile, FileSystem } from '..';
 
-interface Content {
+interface FileContent {
   bytes: Buffer;
   synced: number;
 }
 
-/** Bytes around the end of a write that a loss of power may spoil. */
-const SPOILED = 0x5a;
+/** Value of the bytes that a power loss corrupts. */
+const CORRUPTED_BYTE = 0x5a;
 
 /**
- * A disk in memory that loses power: of what was not synced, each write may be there, missing or
- * spoiled, and names that were not synced may be gone.
+ * An in-memory disk with simulated power loss: of each file a random part of the bytes that were not
+ * synced is kept, at times corrupted, and directory entries that were not synced are undone.
  */
 export class MemoryDisk {
-  #files = new Map<string, Content>();
-  /** Names as they stand after a loss of power. */
-  #lasting = new Map<string, Content>();
-  #life = 0;
-  #held: (() => void)[] = [];
-  /** Once set, operations wait until they are let go. */
+  #files = new Map<string, FileContent>();
+  /** Directory entries that survive a power loss. */
+  #durableFiles = new Map<string, FileContent>();
+  #mountGeneration = 0;
+  #waiting: (() => void)[] = [];
+  /** While set, operations wait for {@link releaseOperations}. */
   slow = false;
-  /** Once set, every write fails as on a full disk. */
+  /** While set, each write fails with `ENOSPC`. */
   full = false;
 
-  /** The disk as one process sees it; after a loss of power that process can do nothing more. */
+  /** Returns a file system whose operations fail after the next power loss or wipe. */
   mount(): FileSystem {
-    const life = this.#life;
-    const act = async <T>(action: () => T, writes = false): Promise<T> => {
-      if (this.slow) await new Promise<void>((resolve) => this.#held.push(resolve));
+    const generation = this.#mountGeneration;
+    const run = async <T>(action: () => T, writes = false): Promise<T> => {
+      if (this.slow) await new Promise<void>((resolve) => this.#waiting.push(resolve));
       else await Promise.resolve();
-      if (life !== this.#life) throw new Error('the power is gone');
+      if (generation !== this.#mountGeneration)
+        throw new Error('EIO: the disk lost power after this file system was mounted');
       if (writes && this.full) throw new Error('ENOSPC: no space left on device');
       return action();
     };
-    const open = (content: Content): AppendFile => ({
+    const open = (content: FileContent): AppendFile => ({
       append: (bytes) =>
-        act(() => {
+        run(() => {
           content.bytes = Buffer.concat([content.bytes, bytes]);
         }, true),
       sync: () =>
-        act(() => {
+        run(() => {
           content.synced = content.bytes.length;
         }),
       close: () => Promise.resolve(),
     });
     return {
       ensureFolder: () => Promise.resolve(),
-      list: (folder) => act(() => this.#list(folder)),
-      read: (file) => act(() => Buffer.from(this.#content(file).bytes)),
+      list: (folder) => run(() => this.#list(folder)),
+      read: (file) => run(() => Buffer.from(this.#content(file).bytes)),
       readAt: (file, offset, length) =>
-        act(() => Buffer.from(this.#content(file).bytes.subarray(offset, offset + length))),
-      create: (file) => act(() => open(this.#create(file)), true),
-      createSynchronous: (file) => act(() => open(this.#create(file)), true),
-      openAt: (file, length) => act(() => open(this.#cut(file, length))),
+        run(() => Buffer.from(this.#content(file).bytes.subarray(offset, offset + length))),
+      create: (file) => run(() => open(this.#create(file)), true),
+      createSynchronous: (file) => run(() => open(this.#create(file)), true),
+      openForAppend: (file, length) => run(() => open(this.#truncate(file, length))),
       rename: (from, to) =>
-        act(() => {
+        run(() => {
           this.#files.set(to, this.#content(from));
           this.#files.delete(from);
         }),
       remove: (path) =>
-        act(() => {
+        run(() => {
           this.#files.delete(path);
         }),
       syncFolder: (folder) =>
-        act(() => {
+        run(() => {
           this.#syncFolder(folder);
         }),
     };
   }
 
-  /** Lets some of the operations go that wait on a slow disk. */
+  /** Runs the first `count` of the waiting operations. */
   letGo(count = Infinity): void {
-    for (const go of this.#held.splice(0, count)) go();
+    for (const release of this.#waiting.splice(0, count)) release();
   }
 
-  /** Takes everything away, as a new disk in place of the old one. */
+  /** Removes all files, as if the disk was replaced by an empty one. */
   wipe(): void {
-    this.#life += 1;
-    this.#held = [];
+    this.#mountGeneration += 1;
+    this.#waiting = [];
     this.#files.clear();
-    this.#lasting.clear();
+    this.#durableFiles.clear();
   }
 
-  /** Takes the power away. */
+  /** Simulates a power loss. */
   crash(random: RandomSource): void {
-    this.#life += 1;
-    this.#held = [];
-    for (const content of this.#lasting.values()) {
+    this.#mountGeneration += 1;
+    this.#waiting = [];
+    for (const content of this.#durableFiles.values()) {
       const tail = Buffer.from(content.bytes.subarray(content.synced));
       const kept = Math.floor(random.fraction() * (tail.length + 1));
-      if (random.fraction() < 0.3) tail.fill(SPOILED, Math.floor(random.fraction() * tail.length));
+      if (random.fraction() < 0.3)
+        tail.fill(CORRUPTED_BYTE, Math.floor(random.fraction() * tail.length));
       content.bytes = Buffer.concat([
         content.bytes.subarray(0, content.synced),
         tail.subarray(0, kept),
       ]);
     }
-    this.#files = new Map(this.#lasting);
+    this.#files = new Map(this.#durableFiles);
   }
 
-  /** Changes one bit of a file. */
-  flip(file: string, offset: number): void {
+  /** Inverts the lowest bit of the byte at `offset`. */
+  flipBit(file: string, offset: number): void {
     const { bytes } = this.#content(file);
     bytes.writeUInt8(bytes.readUInt8(offset) ^ 1, offset);
   }
@@ -111,13 +113,13 @@
     return paths.map((path) => basename(path));
   }
 
-  #create(file: string): Content {
+  #create(file: string): FileContent {
     const content = { bytes: Buffer.alloc(0), synced: 0 };
     this.#files.set(file, content);
     return content;
   }
 
-  #cut(file: string, length: number): Content {
+  #truncate(file: string, length: number): FileContent {
     const content = this.#content(file);
     content.bytes = content.bytes.subarray(0, length);
     content.synced = length;
@@ -125,15 +127,15 @@
   }
 
   #syncFolder(folder: string): void {
-    for (const path of new Set([...this.#files.keys(), ...this.#lasting.keys()])) {
+    for (const path of new Set([...this.#files.keys(), ...this.#durableFiles.keys()])) {
       if (dirname(path) !== folder) continue;
       const content = this.#files.get(path);
-      if (content === undefined) this.#lasting.delete(path);
-      else this.#lasting.set(path, content);
+      if (content === undefined) this.#durableFiles.delete(path);
+      else this.#durableFiles.set(path, content);
     }
   }
 
-  #content(file: string): Content {
+  #content(file: string): FileContent {
     const content = this.#files.get(file);
     if (content === undefined) throw new Error(`ENOENT: ${file}`);
     return content;
--- a/src/storage/tests/file-system.test.ts
+++ b/src/storage/tests/file-system.test.ts
@@ -3,10 +3,10 @@
 import { join } from 'node:path';
 import { NodeFileSystem } from '../file-system';
 
-/** Permissions of all but the owner. */
-const OTHERS = 0o077;
+/** Permission bits of group and others. */
+const GROUP_AND_OTHERS = 0o077;
 
-describe("the host's disk", () => {
+describe('NodeFileSystem', () => {
   let parent: string;
 
   beforeAll(async () => {
@@ -15,7 +15,7 @@
 
   afterAll(() => rm(parent, { recursive: true, force: true }));
 
-  it('keeps files and folders readable by their owner alone', async () => {
+  it('creates files and folders without permissions for group and others', async () => {
     const fileSystem = new NodeFileSystem();
     const folder = join(parent, 'state', 'cluster');
     await fileSystem.ensureFolder(folder);
@@ -23,7 +23,9 @@
     files.push(await fileSystem.createSynchronous(join(folder, 'b')));
     for (const file of files) await file.close();
     const paths = [join(parent, 'state'), folder, join(folder, 'a'), join(folder, 'b')];
-    const modes = await Promise.all(paths.map(async (path) => (await stat(path)).mode & OTHERS));
+    const modes = await Promise.all(
+      paths.map(async (path) => (await stat(path)).mode & GROUP_AND_OTHERS),
+    );
     expect(modes).toEqual([0, 0, 0, 0]);
   });
 });
--- a/src/storage/tests/power-loss.test.ts
+++ b/src/storage/tests/power-loss.test.ts
@@ -27,8 +27,8 @@
   return fc.record({ kind, count: fc.integer({ min: 1, max: 4 }), awaited: fc.boolean() });
 }
 
-/** Numbers in the order they were appended, over any number of losses of power. */
-class Session {
+/** Appends consecutive numbers and checks after each power loss which ones the store returns. */
+class PowerLossScenario {
   readonly #disk = new MemoryDisk();
   readonly #random: SeededRandom;
   #store = this.#open();
@@ -41,11 +41,11 @@
 
   async run(list: readonly Step[]): Promise<void> {
     await this.#store.load();
-    for (const step of list) await this.#take(step);
+    for (const step of list) await this.#runStep(step);
     await this.#crash();
   }
 
-  async #take(step: Step): Promise<void> {
+  async #runStep(step: Step): Promise<void> {
     if (step.kind === 'crash') {
       await this.#crash();
       return;
@@ -64,7 +64,7 @@
     if (store === this.#store) this.#acknowledged = Math.max(this.#acknowledged, last);
   }
 
-  /** A snapshot of all that was appended holds just the highest number. */
+  /** The snapshot that replaces the numbers appended so far holds only the highest one. */
   #compact(): Promise<void> {
     const last = String(this.#next - 1);
     return this.#store.compact({ snapshot: [last], records: [], exclusive: false });
@@ -89,11 +89,11 @@
   }
 }
 
-/** fast-check prints seed and path of a failure; give them to `fc.assert` to replay it. */
-describe('a segmented store that loses power', () => {
-  it('never loses what was acknowledged, nor gives back anything else', async () => {
+/** To replay a failure, pass the seed and path that fast-check prints to `fc.assert`. */
+describe('SegmentedStore after power losses', () => {
+  it('returns each acknowledged record and no record that was not appended, without gaps', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.integer(), steps, (seed, list) => new Session(seed).run(list)),
+      fc.asyncProperty(fc.integer(), steps, (seed, list) => new PowerLossScenario(seed).run(list)),
       { numRuns: 300, seed: 20_261_203 },
     );
   });
--- a/src/storage/tests/segmented-store.test.ts
+++ b/src/storage/tests/segmented-store.test.ts
@@ -4,7 +4,7 @@
 import { SegmentedStore, type StoredRecords } from '..';
 import { MemoryDisk } from './disk';
 
-describe('a segmented store', () => {
+describe('SegmentedStore', () => {
   let folder: string;
   let segment: string;
 
@@ -21,7 +21,7 @@
     return new SegmentedStore({ folder, ...(segmentBytes === undefined ? {} : { segmentBytes }) });
   }
 
-  /** Appends each text with a sync of its own. */
+  /** Appends each text in a separate frame. */
   async function write(...texts: readonly string[]): Promise<void> {
     const store = open();
     await store.load();
@@ -36,20 +36,20 @@
     return stored;
   }
 
-  async function flip(file: string, offset: number): Promise<void> {
+  async function flipBit(file: string, offset: number): Promise<void> {
     const bytes = await readFile(file);
     bytes.writeUInt8(bytes.readUInt8(offset) ^ 1, offset);
     await writeFile(file, bytes);
   }
 
   describe('after a restart', () => {
-    it('gives back what was appended, in order', async () => {
+    it('returns the records in the order they were appended', async () => {
       await write('one', 'two');
       await write('three');
       expect(await read()).toEqual({ snapshot: undefined, records: ['one', 'two', 'three'] });
     });
 
-    it('does so over many segments', async () => {
+    it('returns the records of many segments in order', async () => {
       const store = open(40);
       await store.load();
       const texts = Array.from({ length: 20 }, (_, index) => `record ${index}`);
@@ -59,7 +59,7 @@
       expect((await read()).records).toEqual(texts);
     });
 
-    it('cuts a torn tail off, tells of it, and goes on after it', async () => {
+    it('truncates an incomplete last frame, reports its size and appends after it', async () => {
       await write('one', 'two');
       const bytes = await readFile(segment);
       await writeFile(segment, bytes.subarray(0, bytes.length - 2));
@@ -72,7 +72,7 @@
       expect((await read()).records).toEqual(['one', 'three']);
     });
 
-    it('takes a spoiled end that nothing follows for a write that was not synced', async () => {
+    it('ignores invalid bytes at the end, as that write was never acknowledged', async () => {
       await write('one', 'two');
       const bytes = await readFile(segment);
       await writeFile(segment, Buffer.concat([bytes, Buffer.alloc(100)]));
@@ -81,22 +81,22 @@
   });
 
   describe('with damage', () => {
-    it('refuses flipped bits before the end, naming file, place and mend', async () => {
+    it('rejects a changed bit before the last frame, naming file, offset and repair', async () => {
       await write('one', 'two', 'three');
-      await flip(segment, 21);
+      await flipBit(segment, 21);
       await expect(read()).rejects.toMatchObject({
         issues: [{ code: 'damaged', path: [segment] }],
       });
       await expect(read()).rejects.toThrow('damaged at byte 8; move the folder away');
     });
 
-    it('refuses a length field that was changed', async () => {
+    it('rejects a changed length field', async () => {
       await write('one', 'two', 'three');
-      await flip(segment, 12);
+      await flipBit(segment, 12);
       await expect(read()).rejects.toMatchObject({ issues: [{ code: 'damaged' }] });
     });
 
-    it('refuses a missing segment', async () => {
+    it('rejects a missing segment', async () => {
       const store = open(10);
       await store.load();
       for (const text of ['one', 'two', 'three']) await store.append([text]);
@@ -105,25 +105,25 @@
       await expect(read()).rejects.toThrow('is missing');
     });
 
-    it('refuses a damaged snapshot', async () => {
+    it('rejects a damaged snapshot', async () => {
       const store = open();
       await store.load();
       await store.compact({ snapshot: ['row'], records: [], exclusive: false });
       await store.close();
-      await flip(join(folder, 'snapshot'), 30);
+      await flipBit(join(folder, 'snapshot'), 30);
       await expect(read()).rejects.toMatchObject({ issues: [{ code: 'damaged' }] });
     });
 
-    it('refuses a file of another format', async () => {
+    it('rejects a file of another format', async () => {
       await write('one');
-      await flip(segment, 7);
+      await flipBit(segment, 7);
       await expect(read()).rejects.toMatchObject({ issues: [{ code: 'unknown_format' }] });
       await expect(read()).rejects.toThrow('run the version that wrote it');
     });
   });
 
-  describe('whose beginning a snapshot replaces', () => {
-    it('gives back the snapshot and what stands behind it, and frees the rest', async () => {
+  describe('after a compaction', () => {
+    it('returns the snapshot and the records that follow it, and removes older segments', async () => {
       const store = open(10);
       await store.load();
       for (const text of ['one', 'two', 'three']) await store.append([text]);
@@ -135,30 +135,30 @@
       await Promise.all([compacted, store.append(['four'])]);
       await store.close();
       expect(await read()).toEqual({ snapshot: ['a', 'b'], records: ['kept', 'four'] });
-      const left = ['segment-0000000004', 'segment-0000000005', 'snapshot'];
-      expect((await readdir(folder)).sort()).toEqual(left);
+      const remaining = ['segment-0000000004', 'segment-0000000005', 'snapshot'];
+      expect((await readdir(folder)).sort()).toEqual(remaining);
     });
 
-    it('keeps an append that was asked for after it behind it', async () => {
+    it('keeps an append that was called after the compaction', async () => {
       const store = open();
       await store.load();
-      const held = store.append(['one']);
+      const before = store.append(['one']);
       const compacted = store.compact({ snapshot: ['a'], records: ['kept'], exclusive: true });
       const after = store.append(['two']);
-      await Promise.all([held, compacted, after]);
+      await Promise.all([before, compacted, after]);
       await store.close();
       expect(await read()).toEqual({ snapshot: ['a'], records: ['kept', 'two'] });
     });
   });
 
   describe('on a slow disk', () => {
-    async function pass(disk: MemoryDisk): Promise<void> {
+    async function runNextOperation(disk: MemoryDisk): Promise<void> {
       disk.letGo(1);
       await new Promise((resolve) => setImmediate(resolve));
     }
 
-    /** Whether an append is acknowledged before the snapshot asked for ahead of it is in place. */
-    async function overtakes(exclusive: boolean): Promise<boolean> {
+    /** Whether an append is acknowledged before the snapshot of an earlier call is synced. */
+    async function appendResolvesFirst(exclusive: boolean): Promise<boolean> {
       const disk = new MemoryDisk();
       const store = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
       await store.load();
@@ -167,39 +167,39 @@
       const compacted = store.compact({ snapshot: ['row'], records: [], exclusive });
       void compacted.then(() => order.push('snapshot'));
       void store.append(['one']).then(() => order.push('append'));
-      while (order.length < 2) await pass(disk);
+      while (order.length < 2) await runNextOperation(disk);
       return order[0] === 'append';
     }
 
-    it('keeps appends waiting for a snapshot that they rest on, and only then', async () => {
-      expect(await overtakes(true)).toBe(false);
-      expect(await overtakes(false)).toBe(true);
+    it('delays appends until the snapshot is synced only for an exclusive compaction', async () => {
+      expect(await appendResolvesFirst(true)).toBe(false);
+      expect(await appendResolvesFirst(false)).toBe(true);
     });
   });
 
-  describe('on a disk that fails', () => {
-    it('refuses a folder that is a file', async () => {
+  describe('on a failing disk', () => {
+    it('rejects a folder path that is a file', async () => {
       await writeFile(join(folder, '..', 'nested'), 'x');
       await expect(read()).rejects.toMatchObject({ issues: [{ code: 'unopenable' }] });
     });
 
-    it('acknowledges nothing once it was full, and says what to do', async () => {
+    it('rejects all appends after a failed write, naming the repair, and keeps earlier records', async () => {
       const disk = new MemoryDisk();
       const store = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
       await store.load();
       await store.append(['one']);
       disk.full = true;
-      await expect(store.append(['two'])).rejects.toThrow('free space or mend the disk');
+      await expect(store.append(['two'])).rejects.toThrow('free disk space or repair the disk');
       disk.full = false;
       await expect(store.append(['three'])).rejects.toMatchObject({
         issues: [{ code: 'unwritable' }],
       });
       await store.close();
-      const again = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
-      expect((await again.load()).records).toEqual(['one']);
+      const reopened = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
+      expect((await reopened.load()).records).toEqual(['one']);
     });
 
-    it('fails a snapshot that finds no room, and keeps what it was to replace', async () => {
+    it('rejects a compaction on a full disk and keeps the records', async () => {
       const disk = new MemoryDisk();
       const store = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
       await store.load();
@@ -209,11 +209,11 @@
       await expect(compacted).rejects.toMatchObject({ issues: [{ code: 'unwritable' }] });
       disk.full = false;
       await store.close();
-      const again = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
-      expect((await again.load()).records).toEqual(['one']);
+      const reopened = new SegmentedStore({ folder: '/data', fileSystem: disk.mount() });
+      expect((await reopened.load()).records).toEqual(['one']);
     });
 
-    it('acknowledges nothing once it is closed', async () => {
+    it('rejects an append after close', async () => {
       const store = open();
       await store.load();
       await store.close();
