--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -1,7 +1,7 @@
 /** Stops a timer; calling it twice is harmless. */
 export type CancelTimer = () => void;
 
-/** Source of time, injected so that tests decide when time passes. */
+/** Source of time and timers; tests inject a manual one. */
 export interface Clock {
   /** Wall time in milliseconds since the Unix epoch. */
   now(): number;
@@ -11,7 +11,6 @@
   after(milliseconds: number, action: () => void): CancelTimer;
 }
 
-/** The machine's clock. */
 export class SystemClock implements Clock {
   now(): number {
     return Date.now();
@@ -29,7 +28,7 @@
   }
 }
 
-/** Runs `action` every `milliseconds` until cancelled; a slow action delays the next run. */
+/** Runs `action` until cancelled, each time `milliseconds` after the previous run has finished. */
 export function repeat(
   clock: Clock,
   milliseconds: number,
@@ -51,24 +50,22 @@
   };
 }
 
-/** Resolves after `milliseconds`. */
 export function delay(clock: Clock, milliseconds: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(milliseconds, resolve);
   });
 }
 
-/** A signal that aborts after a time, and what cancels it. */
 export interface Timeout {
   readonly controller: AbortController;
   readonly cancel: CancelTimer;
 }
 
-/** Starts a signal that aborts after `milliseconds`. */
+/** Starts an abort controller that aborts after `milliseconds` unless cancelled. */
 export function startTimeout(clock: Clock, milliseconds: number): Timeout {
   const controller = new AbortController();
   const cancel = clock.after(Math.max(0, milliseconds), () => {
-    controller.abort(new Error('the time is over'));
+    controller.abort(new Error('the operation timed out'));
   });
   return { controller, cancel };
 }
--- a/src/core/digest.ts
+++ b/src/core/digest.ts
@@ -6,14 +6,14 @@
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** SHA-256 of a JSON value; equal values give equal digests whatever the order of their keys. */
+/** SHA-256 of a JSON value in hexadecimal, independent of the order of object keys. */
 export function digestValue(value: unknown): string {
   return digestText(stringify(value) ?? '');
 }
 
 /**
  * Digests of every prefix of a list: element `n` covers the first `n + 1` values. Two lists share
- * a prefix of length `n` exactly when their digests at `n - 1` are equal.
+ * a prefix of length `n` if and only if their digests at `n - 1` are equal.
  */
 export function digestPrefixes(values: readonly unknown[], start = ''): readonly string[] {
   let previous = start;
@@ -23,7 +23,7 @@
   });
 }
 
-/** Compares two secrets without telling by its duration where they differ. */
+/** Compares two secrets in constant time. */
 export function equalSecrets(left: string, right: string): boolean {
   const leftDigest = createHash('sha256').update(left).digest();
   const rightDigest = createHash('sha256').update(right).digest();
--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -1,33 +1,32 @@
-/** One thing that is wrong, kept apart from the text that a person reads. */
+/** One fault in structured form. */
 export interface Issue {
   /** Stable identifier for programs, such as `unknown_key`. */
   readonly code: string;
-  /** Where the fault is: a file, then keys and list positions. */
+  /** Location of the fault: a file, then keys and array indexes. */
   readonly path: readonly (string | number)[];
-  /** What was found and how to mend it. */
+  /** What was found and how to correct it. */
   readonly message: string;
 }
 
-/** Renders a path as `file.toml: service[0].name`. */
+/** Formats a path as `file.toml: service[0].name`. */
 export function formatPath(path: readonly (string | number)[]): string {
   const [first, ...rest] = path;
   const keys = rest
     .map((part) => (typeof part === 'number' ? `[${part}]` : `.${part}`))
     .join('')
     .replace(/^\./, '');
-  const head = first === undefined ? '' : String(first);
-  return keys === '' ? head : `${head}: ${keys}`;
+  const root = first === undefined ? '' : String(first);
+  return keys === '' ? root : `${root}: ${keys}`;
 }
 
-/** Renders an issue on one line. */
 export function formatIssue(issue: Issue): string {
-  const where = formatPath(issue.path);
-  return where === '' ? issue.message : `${where}: ${issue.message}`;
+  const location = formatPath(issue.path);
+  return location === '' ? issue.message : `${location}: ${issue.message}`;
 }
 
 /**
- * Base of every layer's error. A layer catches the errors of the layer below and turns them into
- * its own, keeping the original as `cause`.
+ * Base class of the errors of each module. Modules wrap errors of lower layers in their own, with the
+ * original as `cause`.
  */
 export abstract class MartenbayError extends Error {
   readonly issues: readonly Issue[];
@@ -39,7 +38,7 @@
   }
 }
 
-/** Returns the message of anything thrown. */
+/** Message of a thrown value of any type. */
 export function messageOf(thrown: unknown): string {
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
--- a/src/core/folded-line.ts
+++ b/src/core/folded-line.ts
@@ -3,21 +3,20 @@
 
 export interface FoldedLineOptions {
   readonly event: string;
-  /** Shortest time between two lines; milliseconds. */
+  /** Minimum time between two lines. */
   readonly milliseconds: number;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
 /**
- * A line of the log that would come for each of many tries. The first is written at once; those that
- * follow too soon are counted, and the next one that is written says how many were left out. Purpose: a
- * host that was cut off for four seconds wrote 191 equal lines, which bury the others.
+ * Writes a repeated log line at most once per interval. Lines within the interval are counted, and the
+ * next one that is written has their number in `leftOut`.
  */
 export class FoldedLine {
   readonly #options: FoldedLineOptions;
-  #writtenAt = -Infinity;
-  #leftOut = 0;
+  #lastWrittenAt = -Infinity;
+  #suppressedCount = 0;
 
   constructor(options: FoldedLineOptions) {
     this.#options = options;
@@ -26,12 +25,12 @@
   note(fields: Readonly<Record<string, unknown>>): void {
     const { event, milliseconds, clock, logger } = this.#options;
     const now = clock.monotonic();
-    if (now - this.#writtenAt < milliseconds) {
-      this.#leftOut += 1;
+    if (now - this.#lastWrittenAt < milliseconds) {
+      this.#suppressedCount += 1;
       return;
     }
-    logger.info({ event, ...fields, leftOut: this.#leftOut });
-    this.#writtenAt = now;
-    this.#leftOut = 0;
+    logger.info({ event, ...fields, leftOut: this.#suppressedCount });
+    this.#lastWrittenAt = now;
+    this.#suppressedCount = 0;
   }
 }
--- a/src/core/in-flight.ts
+++ b/src/core/in-flight.ts
@@ -1,25 +1,25 @@
-/** Counts work under way, and tells when the last of it is done. */
+/** Counts operations in flight, to wait for them before a shutdown. */
 export class InFlight {
-  readonly #waiting: (() => void)[] = [];
+  readonly #waiters: (() => void)[] = [];
   #count = 0;
 
   get count(): number {
     return this.#count;
   }
 
-  /** Counts a piece of work until it ends, however it ends. */
-  track(work: Promise<void>): void {
+  /** Counts an operation until its promise settles. */
+  track(operation: Promise<void>): void {
     this.#count += 1;
-    const end = () => {
+    const onSettled = () => {
       this.#count -= 1;
-      if (this.#count === 0) for (const wake of this.#waiting.splice(0)) wake();
+      if (this.#count === 0) for (const resolve of this.#waiters.splice(0)) resolve();
     };
-    work.then(end, end);
+    operation.then(onSettled, onSettled);
   }
 
-  /** Resolves once nothing is under way. */
+  /** Resolves once no operation is in flight. */
   idle(): Promise<void> {
     if (this.#count === 0) return Promise.resolve();
-    return new Promise((resolve) => this.#waiting.push(resolve));
+    return new Promise((resolve) => this.#waiters.push(resolve));
   }
 }
--- a/src/core/life-cycle.ts
+++ b/src/core/life-cycle.ts
@@ -1,8 +1,8 @@
-/** A part that the life-cycle manager owns. */
+/** A part of a process that {@link LifeCycle} starts and stops. */
 export interface Component {
-  /** Acquires what the part needs; a rejection stops the start. */
+  /** Acquires resources; a rejection aborts the start of the process. */
   start?(): Promise<void> | void;
-  /** Finishes the work under way, then gives everything back. */
+  /** Finishes the work in progress, then releases all resources. */
   stop?(): Promise<void> | void;
 }
 
@@ -13,14 +13,13 @@
 
 /**
  * Starts components in the order they were added and stops them in the reverse order. A failed
- * start stops what had been started, so that nothing stays open.
+ * start stops the components that were started before it.
  */
 export class LifeCycle {
   readonly #components: NamedComponent[] = [];
   #started: NamedComponent[] = [];
   #stopping: Promise<void> | undefined;
 
-  /** Adds a component and returns it. */
   add<T extends Component>(name: string, component: T): T {
     this.#components.push({ name, component });
     return component;
@@ -38,7 +37,7 @@
     }
   }
 
-  /** Stops everything once; later calls wait for the same stop. */
+  /** Stops all components once; later calls return the same promise. */
   stop(): Promise<void> {
     this.#stopping ??= this.#stopAll();
     return this.#stopping;
@@ -54,6 +53,6 @@
       }
     }
     this.#started = [];
-    if (failures.length > 0) throw new AggregateError(failures, 'Components failed to stop');
+    if (failures.length > 0) throw new AggregateError(failures, 'components failed to stop');
   }
 }
--- a/src/core/log.ts
+++ b/src/core/log.ts
@@ -2,18 +2,17 @@
 
 export type { Logger } from 'pino';
 
-/** What a process's log lines carry. */
 export interface LogOptions {
-  /** Kind of process, such as `entry`. */
+  /** Kind of process, such as `entry`; part of each line. */
   readonly role: string;
-  /** The process's own name from its settings. */
+  /** Name of the host from the settings; part of each line. */
   readonly host: string;
   readonly level?: string;
-  /** Where the lines go; standard output unless given. */
+  /** Destination of the lines; standard output by default. */
   readonly stream?: DestinationStream;
 }
 
-/** Creates a logger that writes one JSON object per line. */
+/** Creates a logger that writes one JSON object per line, synchronously by default. */
 export function createLogger(options: LogOptions): Logger {
   const { role, host, level = 'info', stream = destination({ fd: 1, sync: true }) } = options;
   return pino(
@@ -27,7 +26,6 @@
   );
 }
 
-/** A logger that writes nothing. */
 export function createSilentLogger(): Logger {
   return pino({ level: 'silent' });
 }
--- a/src/core/metrics.ts
+++ b/src/core/metrics.ts
@@ -1,4 +1,3 @@
-/** Keeps durations by name. */
 export interface LatencyRecorder {
   /** Records a duration in milliseconds. */
   observe(name: string, milliseconds: number): void;
@@ -12,17 +11,17 @@
   readonly #gauges = new Map<string, () => number>();
   readonly #latencies: LatencyRecorder | undefined;
 
-  /** Without a recorder, durations are not kept. */
+  /** Without a recorder, {@link observe} does nothing. */
   constructor(latencies?: LatencyRecorder) {
     this.#latencies = latencies;
   }
 
-  /** Adds to a counter. The name may carry labels, as in `calls_total{outcome="ok"}`. */
+  /** Adds to a counter. The name may have labels, as in `calls_total{outcome="ok"}`. */
   count(name: string, amount = 1): void {
     this.#counters.set(name, (this.#counters.get(name) ?? 0) + amount);
   }
 
-  /** Registers a value that is read when the metrics are. */
+  /** Registers a gauge whose value is read on each {@link render}. */
   gauge(name: string, read: () => number): void {
     this.#gauges.set(name, read);
   }
@@ -32,7 +31,7 @@
     this.#latencies?.observe(name, milliseconds);
   }
 
-  /** Renders everything in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): string {
     const counters = [...this.#counters].map(([name, value]) => `martenbay_${name} ${value}`);
     const gauges = [...this.#gauges].map(([name, read]) => `martenbay_${name} ${read()}`);
--- a/src/core/periodic.ts
+++ b/src/core/periodic.ts
@@ -1,21 +1,21 @@
 import { type CancelTimer, type Clock, repeat } from './clock';
 import type { Component } from './life-cycle';
 
-/** Runs `action` every `milliseconds` from its start to its stop. */
+/** Runs `action` between start and stop, each time `intervalMilliseconds` after the previous run. */
 export class PeriodicTask implements Component {
   readonly #clock: Clock;
-  readonly #milliseconds: number;
+  readonly #intervalMilliseconds: number;
   readonly #action: () => Promise<void> | void;
   #cancel: CancelTimer = () => undefined;
 
-  constructor(clock: Clock, milliseconds: number, action: () => Promise<void> | void) {
+  constructor(clock: Clock, intervalMilliseconds: number, action: () => Promise<void> | void) {
     this.#clock = clock;
-    this.#milliseconds = milliseconds;
+    this.#intervalMilliseconds = intervalMilliseconds;
     this.#action = action;
   }
 
   start(): void {
-    this.#cancel = repeat(this.#clock, this.#milliseconds, this.#action);
+    this.#cancel = repeat(this.#clock, this.#intervalMilliseconds, this.#action);
   }
 
   stop(): void {
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -2,23 +2,22 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 
-/** Source of randomness, injected so that tests can replay a run. */
+/** Source of randomness; tests inject a seeded one. */
 export interface RandomSource {
   /** A number in [0, 1). */
   fraction(): number;
-  /** `length` random bytes in hexadecimal, so a text of twice that length. */
+  /** `length` random bytes in hexadecimal: a string of `2 * length` digits. */
   hex(length: number): string;
 }
 
-/** Bytes that one fraction takes. */
 const FRACTION_BYTES = 4;
 
-/** Bytes that are fetched at once for fractions. */
+/** Bytes requested from the operating system at once. */
 const POOL_BYTES = 1024;
 
 /**
- * The operating system's random source. Fractions are cut from a pool: asked for one by one they took 2% of
- * a gateway's processor time (CPU profile under 36 requests a second).
+ * Cryptographically secure random source of the operating system. Fractions are read from a pool, to
+ * save a system call for each.
  */
 export class SystemRandom implements RandomSource {
   #pool = Buffer.alloc(0);
@@ -39,7 +38,7 @@
   }
 }
 
-/** A repeatable source: equal seeds give equal sequences. */
+/** Deterministic source, not for secrets: equal seeds give equal sequences. */
 export class SeededRandom implements RandomSource {
   readonly #generator;
 
--- a/src/core/tests/collected-log.ts
+++ b/src/core/tests/collected-log.ts
@@ -1,7 +1,7 @@
 import { Writable } from 'node:stream';
 import { type Logger, createLogger } from '..';
 
-/** A logger whose lines a test can look at. */
+/** A logger and the lines that it wrote. */
 export interface CollectedLog {
   readonly logger: Logger;
   readonly lines: readonly Readonly<Record<string, unknown>>[];
--- a/src/core/tests/folded-line.test.ts
+++ b/src/core/tests/folded-line.test.ts
@@ -2,7 +2,7 @@
 import { collectLog } from './collected-log';
 import { ManualClock } from './manual-clock';
 
-function noteEvery(milliseconds: number, times: number) {
+function writeEvery(milliseconds: number, times: number) {
   const { logger, lines } = collectLog();
   const clock = new ManualClock();
   const line = new FoldedLine({ event: 'e', milliseconds: 1000, clock, logger });
@@ -13,9 +13,9 @@
   return lines;
 }
 
-describe('a line that is folded', () => {
-  it('is written at once, and then once a second with the number of those left out', () => {
-    const lines = noteEvery(20, 191);
+describe('RateLimitedLogLine', () => {
+  it('writes the first line at once, then one per interval with the number of suppressed lines', () => {
+    const lines = writeEvery(20, 191);
     expect(lines.map(({ time, leftOut }) => [time, leftOut])).toEqual([
       [0, 0],
       [50, 49],
@@ -24,7 +24,7 @@
     ]);
   });
 
-  it('is written each time where it is rare', () => {
-    expect(noteEvery(1500, 3).map(({ leftOut }) => leftOut)).toEqual([0, 0, 0]);
+  it('writes every line when they are further apart than the interval', () => {
+    expect(writeEvery(1500, 3).map(({ leftOut }) => leftOut)).toEqual([0, 0, 0]);
   });
 });
--- a/src/core/tests/manual-clock.ts
+++ b/src/core/tests/manual-clock.ts
@@ -5,7 +5,7 @@
   readonly action: () => void;
 }
 
-/** A clock that stands still until it is moved. */
+/** A clock whose time changes only by {@link advance} and {@link jump}. */
 export class ManualClock implements Clock {
   #now = 0;
   #timers: Timer[] = [];
@@ -26,13 +26,13 @@
     };
   }
 
-  /** Moves time on at once, as it seems to a process that was frozen, then runs what is due. */
+  /** Advances time in one step, as after a suspension of the process, then runs all due timers. */
   jump(milliseconds: number): void {
     this.#now += milliseconds;
     this.advance(0);
   }
 
-  /** Moves time on, running the timers that come due, earliest first. */
+  /** Advances time, running each due timer at its time, earliest first. */
   advance(milliseconds: number): void {
     const end = this.#now + milliseconds;
     for (;;) {
--- a/src/core/toml.ts
+++ b/src/core/toml.ts
@@ -2,7 +2,7 @@
 import type * as z from 'zod';
 import { type Issue, messageOf } from './errors';
 
-/** Reads TOML text; a syntax error becomes one issue that names the file. */
+/** Parses TOML text; a syntax error becomes one `toml_syntax` issue. */
 export function parseDocument(
   file: string,
   text: string,
@@ -10,20 +10,20 @@
   try {
     return { value: parseToml(text), issues: [] };
   } catch (error) {
-    const message = `not valid TOML; mend the syntax: ${messageOf(error)}`;
+    const message = `not valid TOML; correct the syntax: ${messageOf(error)}`;
     return { value: undefined, issues: [{ code: 'toml_syntax', path: [file], message }] };
   }
 }
 
-/** Turns a schema's complaints into issues that name file, key, what was found and the mend. */
+/** Converts schema errors to issues with the file, the key, the value found and the correction. */
 export function issuesOf(file: string, error: z.ZodError, input: unknown): readonly Issue[] {
   return error.issues.map((issue) => {
     const path = issue.path.map((part) => (typeof part === 'symbol' ? String(part) : part));
-    return { code: issue.code, path: [file, ...path], message: describe(issue, path, input) };
+    return { code: issue.code, path: [file, ...path], message: describeIssue(issue, path, input) };
   });
 }
 
-function describe(
+function describeIssue(
   issue: z.core.$ZodIssue,
   path: readonly (string | number)[],
   input: unknown,
