--- a/src/configuration/check.ts
+++ b/src/configuration/check.ts
@@ -2,7 +2,6 @@
 import { findSharedKeys } from '../teams';
 import type { ConfigurationFile, ParsedFile, Service } from './schema';
 
-/** Sections whose entries have names. */
 type NamedSection = 'availability-zone' | 'team' | 'budget' | 'program' | 'service' | 'pool';
 
 interface Reference {
@@ -11,12 +10,14 @@
   readonly name: string;
 }
 
-/** Finds names that stand twice, references to nothing, and services that can't be served. */
-export function checkReferences(files: readonly ParsedFile[]): readonly Issue[] {
+/** Finds repeated names and keys, unknown references and services without a required key. */
+export function validateFiles(files: readonly ParsedFile[]): readonly Issue[] {
   return [
     ...checkNames(files),
     ...checkTargets(files),
-    ...files.flatMap((file) => references(file)).flatMap((reference) => resolve(files, reference)),
+    ...files
+      .flatMap((file) => referencesOf(file))
+      .flatMap((reference) => checkReference(files, reference)),
     ...files.flatMap((file) => checkServices(file)),
     ...checkModels(files),
     ...checkKeys(files),
@@ -32,12 +33,12 @@
   'pool',
 ];
 
-interface Named {
+interface NamedEntry {
   readonly path: readonly (string | number)[];
   readonly name: string;
 }
 
-function namesOf(files: readonly ParsedFile[], section: NamedSection): readonly Named[] {
+function namesOf(files: readonly ParsedFile[], section: NamedSection): readonly NamedEntry[] {
   return files.flatMap((file) =>
     file.content[section].map((entry, index) => ({
       path: [file.name, section, index, 'name'],
@@ -62,21 +63,21 @@
   return findRepeated(targets, 'target');
 }
 
-function findRepeated(entries: readonly Named[], what: string): readonly Issue[] {
+function findRepeated(entries: readonly NamedEntry[], kind: string): readonly Issue[] {
   const seen = new Set<string>();
   return entries.flatMap(({ path, name }) => {
     if (!seen.has(name)) {
       seen.add(name);
       return [];
     }
-    const message = `${what} "${name}" stands twice; rename or remove one`;
+    const message = `${kind} "${name}" is defined twice; rename or remove one`;
     return [{ code: 'name_twice', path, message }];
   });
 }
 
-function references(file: ParsedFile): readonly Reference[] {
+function referencesOf(file: ParsedFile): readonly Reference[] {
   const { content } = file;
-  const make = (
+  const createReference = (
     section: NamedSection,
     name: string,
     ...path: readonly (string | number)[]
@@ -84,70 +85,75 @@
   return [
     ...content.distance.flatMap((distance, index) =>
       distance.between.map((zone, end) =>
-        make('availability-zone', zone, 'distance', index, 'between', end),
+        createReference('availability-zone', zone, 'distance', index, 'between', end),
       ),
     ),
     ...content.team.map((team, index) =>
-      make('program', team['default-program'], 'team', index, 'default-program'),
+      createReference('program', team['default-program'], 'team', index, 'default-program'),
     ),
     ...content.program.flatMap((program, index) => [
-      make('budget', program.budget, 'program', index, 'budget'),
-      ...program.teams.map((team, at) => make('team', team, 'program', index, 'teams', at)),
-      ...program.services.map((service, at) =>
-        make('service', service, 'program', index, 'services', at),
+      createReference('budget', program.budget, 'program', index, 'budget'),
+      ...program.teams.map((team, position) =>
+        createReference('team', team, 'program', index, 'teams', position),
+      ),
+      ...program.services.map((service, position) =>
+        createReference('service', service, 'program', index, 'services', position),
       ),
     ]),
     ...content.service.flatMap((service, index) =>
-      service.pool === undefined ? [] : [make('pool', service.pool, 'service', index, 'pool')],
+      service.pool === undefined
+        ? []
+        : [createReference('pool', service.pool, 'service', index, 'pool')],
     ),
     ...content.pool.flatMap((pool, index) =>
-      pool.targets.map((target, at) =>
-        make(
+      pool.targets.map((target, position) =>
+        createReference(
           'availability-zone',
           target['availability-zone'],
-          ...['pool', index, 'targets', at, 'availability-zone'],
+          ...['pool', index, 'targets', position, 'availability-zone'],
         ),
       ),
     ),
   ];
 }
 
-function resolve(files: readonly ParsedFile[], reference: Reference): readonly Issue[] {
-  const known = namesOf(files, reference.section).map((entry) => entry.name);
-  if (known.includes(reference.name)) return [];
-  const choices = known.length === 0 ? 'none is defined' : `defined: ${known.join(', ')}`;
+function checkReference(files: readonly ParsedFile[], reference: Reference): readonly Issue[] {
+  const definedNames = namesOf(files, reference.section).map((entry) => entry.name);
+  if (definedNames.includes(reference.name)) return [];
+  const choices =
+    definedNames.length === 0 ? 'none is defined' : `defined: ${definedNames.join(', ')}`;
   const message = `found "${reference.name}"; no ${reference.section} has this name (${choices})`;
   return [{ code: 'unknown_reference', path: reference.path, message }];
 }
 
 function checkServices(file: ParsedFile): readonly Issue[] {
   return file.content.service.flatMap((service, index) =>
-    serviceFaults(service).map((fault) => ({
+    findServiceIssues(service).map((issue) => ({
       code: 'incomplete_service',
-      path: [file.name, 'service', index, fault.key],
-      message: fault.message,
+      path: [file.name, 'service', index, issue.key],
+      message: issue.message,
     })),
   );
 }
 
-interface ServiceFault {
+interface ServiceIssue {
   readonly key: keyof ConfigurationFile['service'][number];
   readonly message: string;
 }
 
-function serviceFaults(service: Service): readonly ServiceFault[] {
-  const faults: ServiceFault[] = [];
+function findServiceIssues(service: Service): readonly ServiceIssue[] {
+  const issues: ServiceIssue[] = [];
   if (service.adoption === 'managed' && service.pool === undefined) {
-    faults.push({ key: 'pool', message: 'missing; a managed service needs a pool' });
+    issues.push({ key: 'pool', message: 'missing; a managed service needs a pool' });
   }
   if (service.adoption === 'pass-through' && service['old-address'] === undefined) {
-    const message = 'missing; a service passed through needs the address it is served at today';
-    faults.push({ key: 'old-address', message });
+    const message = 'missing; a pass-through service needs the address that serves it now';
+    issues.push({ key: 'old-address', message });
   }
   if (service.type === 'engine' && service.model === undefined) {
-    faults.push({ key: 'model', message: 'missing; an engine service needs its model name' });
+    issues.push({ key: 'model', message: 'missing; an engine service needs its model name' });
   }
-  return faults;
+  return issues;
 }
 
 function checkModels(files: readonly ParsedFile[]): readonly Issue[] {
--- a/src/configuration/diff.ts
+++ b/src/configuration/diff.ts
@@ -12,7 +12,7 @@
   readonly name: string;
 }
 
-/** Lists what `next` adds, removes and changes against `current`, section by section. */
+/** Lists the entries of `next` that were added, changed or removed, in the order of the sections. */
 export function diffConfigurations(
   current: Configuration | undefined,
   next: Configuration,
@@ -33,16 +33,16 @@
   before: readonly NamedEntry[],
   after: readonly NamedEntry[],
 ): readonly Change[] {
-  const old = new Map(before.map((entry) => [entry.name, digestValue(entry)]));
-  const fresh = new Set(after.map((entry) => entry.name));
-  const present = after.flatMap((entry): readonly Change[] => {
-    const digest = old.get(entry.name);
+  const digests = new Map(before.map((entry) => [entry.name, digestValue(entry)]));
+  const nextNames = new Set(after.map((entry) => entry.name));
+  const addedOrChanged = after.flatMap((entry): readonly Change[] => {
+    const digest = digests.get(entry.name);
     if (digest === undefined) return [{ section, name: entry.name, change: 'added' }];
     if (digest === digestValue(entry)) return [];
     return [{ section, name: entry.name, change: 'changed' }];
   });
   const removed = before
-    .filter((entry) => !fresh.has(entry.name))
+    .filter((entry) => !nextNames.has(entry.name))
     .map((entry): Change => ({ section, name: entry.name, change: 'removed' }));
-  return [...present, ...removed];
+  return [...addedOrChanged, ...removed];
 }
--- a/src/configuration/directory.ts
+++ b/src/configuration/directory.ts
@@ -16,7 +16,8 @@
     if (names.length > 0) {
       return Ok(names.map((name) => ({ name, text: readFileSync(join(directory, name), 'utf8') })));
     }
-    const message = 'no file ending in .toml; name the directory that holds the files';
+    const message =
+      'no file ending in .toml; give the directory that holds the configuration files';
     return Err(new ConfigurationError([{ code: 'empty_directory', path: [directory], message }]));
   } catch (error) {
     const message = `can't be read; check the path and its permissions: ${messageOf(error)}`;
--- a/src/configuration/in-force.ts
+++ b/src/configuration/in-force.ts
@@ -1,24 +1,24 @@
 import { digestFiles, safeParseConfiguration } from './parse';
 import { type Configuration, type SourceFile } from './schema';
 
-/** Outcome of offering a configuration to a process. */
 export type AdoptOutcome =
   | 'adopted'
   | 'not-newer'
   | 'invalid'
-  /** The changes do not lead from what is here to what they name; all of it is needed. */
+  /** The changes are based on other files than those present; all files must be sent. */
   | 'incomplete';
 
-/** A newer configuration, as what differs from an older one. */
-export interface ConfigurationOffer {
+/** A configuration as its difference from an older one. */
+export interface ConfigurationUpdate {
   readonly number: number;
+  /** Result of {@link digestFiles} for all files. */
   readonly digest: string;
-  /** Names of all files. */
+  /** Names of all files, changed or not. */
   readonly names: readonly string[];
   readonly changed: readonly SourceFile[];
 }
 
-/** The configuration that one process has in force; it only ever moves upward. */
+/** The active configuration of a process, whose number only increases. */
 export class ConfigurationInForce {
   #current: Configuration | undefined;
   #files = new Map<string, SourceFile>();
@@ -28,21 +28,27 @@
     return this.#current;
   }
 
-  /** Number in force; 0 before the first. */
+  /** Number of the active configuration; 0 if there is none. */
   get number(): number {
     return this.#current?.number ?? 0;
   }
 
-  /** Number from which changes are to be told: 0 once changes did not fit, so that all come. */
+  /**
+   * Number of the configuration that the next changes must be based on; 0 after an `incomplete`
+   * outcome, to request all files.
+   */
   get knownNumber(): number {
     return this.#incomplete ? 0 : this.number;
   }
 
-  /** Takes a configuration over if its number is higher and its files are what it names. */
-  adopt({ number, digest, names, changed }: ConfigurationOffer): AdoptOutcome {
+  /** Activates a configuration if its number is higher, its files match its digest and it is valid. */
+  adopt({ number, digest, names, changed }: ConfigurationUpdate): AdoptOutcome {
     if (number <= this.number) return 'not-newer';
-    const offered = new Map([...this.#files, ...changed.map((file) => [file.name, file] as const)]);
-    const files = names.flatMap((name) => offered.get(name) ?? []);
+    const available = new Map([
+      ...this.#files,
+      ...changed.map((file) => [file.name, file] as const),
+    ]);
+    const files = names.flatMap((name) => available.get(name) ?? []);
     this.#incomplete = files.length < names.length || digestFiles(files) !== digest;
     if (this.#incomplete) return 'incomplete';
     const parsed = safeParseConfiguration(files);
--- a/src/configuration/parse.ts
+++ b/src/configuration/parse.ts
@@ -1,19 +1,19 @@
 import { Err, Ok, type Result } from 'ts-results';
 import { type Issue, MartenbayError, digestValue, issuesOf, parseDocument } from '../core';
-import { checkReferences } from './check';
+import { validateFiles } from './check';
 import { type Configuration, type ParsedFile, type SourceFile, fileSchema } from './schema';
 
-/** A directory of operators' files is not valid; carries every issue of every file. */
+/** A configuration directory can't be read or is not valid; holds the issues of all files. */
 export class ConfigurationError extends MartenbayError {}
 
-/** Digest that, with the number, identifies a directory. */
+/** SHA-256 over the names and texts of all files, independent of their order. */
 export function digestFiles(files: readonly SourceFile[]): string {
   const sorted = [...files].sort((left, right) => (left.name < right.name ? -1 : 1));
   return digestValue(sorted.map(({ name, text }) => [name, text]));
 }
 
 /**
- * Merges and checks the files of a directory.
+ * Parses, validates and merges the files of a configuration directory.
  *
  * @example
  * const result = safeParseConfiguration([{ name: 'all.toml', text: 'number = 1' }]);
@@ -32,12 +32,12 @@
     if (checked.success) parsed.push({ name: file.name, content: checked.data });
     else issues.push(...issuesOf(file.name, checked.error, document.value));
   }
-  if (issues.length === 0) issues.push(...checkNumber(parsed), ...checkReferences(parsed));
+  if (issues.length === 0) issues.push(...checkNumber(parsed), ...validateFiles(parsed));
   if (issues.length > 0) return Err(new ConfigurationError(issues));
   return Ok(merge(parsed, digestFiles(files)));
 }
 
-/** The throwing form of {@link safeParseConfiguration}. */
+/** Like {@link safeParseConfiguration}, but throws the error. */
 export function parseConfiguration(files: readonly SourceFile[]): Configuration {
   const result = safeParseConfiguration(files);
   if (result.err) throw result.val;
@@ -45,15 +45,15 @@
 }
 
 function checkNumber(files: readonly ParsedFile[]): readonly Issue[] {
-  const numbered = files.filter((file) => file.content.number !== undefined);
-  if (numbered.length === 1) return [];
-  const [, second] = numbered;
+  const filesWithNumber = files.filter((file) => file.content.number !== undefined);
+  if (filesWithNumber.length === 1) return [];
+  const [, second] = filesWithNumber;
   if (second === undefined) {
     const message =
       'no file has the key "number"; add it to one file, higher than the last applied';
     return [{ code: 'number_missing', path: [], message }];
   }
-  const message = `"number" stands in ${numbered.map((file) => file.name).join(' and ')}; keep one`;
+  const message = `"number" is set in ${filesWithNumber.map((file) => file.name).join(' and ')}; keep one`;
   return [{ code: 'number_twice', path: [second.name, 'number'], message }];
 }
 
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -7,7 +7,7 @@
 
 const distanceSchema = z.strictObject({
   between: z.tuple([name, name]),
-  /** One-way network time. */
+  /** Network latency in one direction. */
   'one-way-milliseconds': z.number().nonnegative(),
 });
 
@@ -18,29 +18,30 @@
     .array(z.string().regex(/^[0-9a-f]{64}$/, 'write the SHA-256 digest of the key: 64 hex digits'))
     .min(1)
     .readonly(),
-  /** Kind of program for calls that name no program. */
+  /** Program kind of calls that name no program. */
   'default-program': name,
 });
 
 const budgetSchema = z.strictObject({
   name,
-  /** Tokens that one program, sub-agents included, may spend. */
+  /** Maximum tokens of one program and its descendants. */
   tokens: positive,
-  /** Engine turns and service calls that one program, sub-agents included, may make. */
+  /** Maximum engine turns and service calls of one program and its descendants. */
   calls: positive,
 });
 
 const programSchema = z.strictObject({
   name,
-  /** Teams whose callers may start it. */
+  /** Teams whose callers may start programs of this kind. */
   teams: z.array(name).min(1).readonly(),
-  /** Services it may call. */
+  /** Services that these programs may call. */
   services: z.array(name).min(1).readonly(),
   budget: name,
+  /** Maximum engine turns and service calls of one program. */
   'turn-limit': positive.default(200),
-  /** Silence after which the program counts as abandoned. */
+  /** Time without activity, running step or live child program after which a program is ended. */
   'idle-seconds': positive.default(900),
-  /** Life of the whole program. */
+  /** Time after the start of a program at which it is ended. */
   'deadline-seconds': positive.default(86_400),
   'latency-weight': z.number().nonnegative().default(1),
   'wasted-cache-weight': z.number().nonnegative().default(1),
@@ -48,47 +49,50 @@
 
 const callRuleSchema = z.strictObject({
   method: z.enum(['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE']),
-  /** Prefix of the path below the service. */
+  /** Path prefix, relative to the service. */
   path: z.string().startsWith('/'),
 });
 
 const serviceSchema = z.strictObject({
   name,
   type: z.enum(['engine', 'plain']),
-  /** Model name that callers give; engines only. */
+  /** Model name in requests of callers; engines only. */
   model: z.string().min(1).optional(),
   pool: name.optional(),
-  /** `managed`: martenbay serves it. `pass-through`: sent on untouched. `not-ours`: refused. */
+  /**
+   * `managed`: calls are scheduled on the targets of the pool. `pass-through`: calls are forwarded
+   * unchanged to `old-address`. `not-ours`: calls are refused.
+   */
   adoption: z.enum(['managed', 'pass-through', 'not-ours']).default('managed'),
-  /** Where a service that has not moved yet is served. */
+  /** Address of the existing deployment of a pass-through service. */
   'old-address': addressSchema.optional(),
-  /** Calls that run at most once. */
+  /** Non-repeatable calls: they are never sent again after they may have run. */
   'not-repeatable': z.array(callRuleSchema).readonly().default([]),
-  /** Output tokens reserved for a turn that names no limit; engines only. */
+  /** Output tokens reserved for a turn without a limit of its own; engines only. */
   'output-tokens': positive.default(1024),
-  /** Fewest bytes of text to one token; the bound that reservations rest on. */
+  /** Minimum bytes of text per token, for an upper bound on the input tokens to reserve. */
   'bytes-per-token': positive.default(1),
 });
 
 const targetSchema = z.strictObject({
   name,
   'availability-zone': name,
-  /** Address of the sidecar beside the target. */
+  /** Address of the target's sidecar. */
   address: addressSchema,
-  /** Its host in the platform's list; the target's own name unless given. */
+  /** Name of its host in the platform's host list; the target's name by default. */
   host: name.optional(),
 });
 
 const poolSchema = z.strictObject({
   name,
-  /** Whether the targets themselves refuse an order with an old fencing number. */
+  /** Whether the targets themselves reject orders with an outdated fencing token. */
   'checks-fencing': z.boolean(),
   targets: z.array(targetSchema).min(1).readonly(),
 });
 
-/** One operators' file. Every section may stand in any file of the directory. */
+/** Schema of one configuration file. Each section may be in any file of the directory. */
 export const fileSchema = z.strictObject({
-  /** Number of the whole directory; it stands in exactly one file. */
+  /** Number of the configuration; set in exactly one file. */
   number: positive.optional(),
   'availability-zone': z.array(availabilityZoneSchema).default([]),
   distance: z.array(distanceSchema).default([]),
@@ -101,7 +105,6 @@
 
 export type ConfigurationFile = Readonly<z.output<typeof fileSchema>>;
 
-/** One parsed file with its name, for messages. */
 export interface ParsedFile {
   readonly name: string;
   readonly content: ConfigurationFile;
@@ -115,14 +118,14 @@
 export type Target = Readonly<z.output<typeof targetSchema>>;
 export type Pool = Readonly<z.output<typeof poolSchema>>;
 
-/** The text of one file, as operators wrote it. */
+/** Schema of a configuration file before parsing. */
 export const sourceFileSchema = z.object({ name: z.string().min(1).max(255), text: z.string() });
 export type SourceFile = Readonly<z.output<typeof sourceFileSchema>>;
 
-/** A whole directory, merged and checked. */
+/** The merged and validated files of a directory. */
 export interface Configuration {
   readonly number: number;
-  /** SHA-256 over the names and texts of all files. */
+  /** SHA-256 over the names and texts of all files, in hexadecimal. */
   readonly digest: string;
   readonly availabilityZones: readonly AvailabilityZone[];
   readonly distances: readonly Distance[];
--- a/src/configuration/tests/examples.test.ts
+++ b/src/configuration/tests/examples.test.ts
@@ -6,8 +6,8 @@
   return Object.fromEntries(pools.map((pool) => [pool.name, pool.targets.length]));
 }
 
-describe('the examples', () => {
-  it('have the sizes of both deployments', () => {
+describe('example configurations', () => {
+  it('are valid and have the expected number of targets in each pool', () => {
     expect(targetsOf('examples/carriers')).toEqual({ 'agent-models': 8, 'checkin-core': 17 });
     expect(targetsOf('examples/photographers')).toEqual({ 'lm-assist': 6, 'gallery-app': 13 });
   });
--- a/src/configuration/tests/in-force.test.ts
+++ b/src/configuration/tests/in-force.test.ts
@@ -9,45 +9,47 @@
   return localFiles({ engines, plain: [{ ...TARGET, name: 'plain-a' }] }, number);
 }
 
-function offer(number: number, changed: (file: SourceFile) => boolean = () => true) {
+function updateTo(number: number, changed: (file: SourceFile) => boolean = () => true) {
   const all = files(number);
   const names = all.map((file) => file.name);
   return { number, digest: digestFiles(all), names, changed: all.filter(changed) };
 }
 
-function isNumbered(file: SourceFile): boolean {
+function holdsNumber(file: SourceFile): boolean {
   return file.name === 'places.toml';
 }
 
-describe('the configuration that a process has in force', () => {
+describe('ActiveConfiguration', () => {
   let configuration: ConfigurationInForce;
 
   beforeEach(() => {
     configuration = new ConfigurationInForce();
-    expect(configuration.adopt(offer(3))).toBe('adopted');
+    expect(configuration.adopt(updateTo(3))).toBe('adopted');
   });
 
-  it('moves by the files that changed', () => {
-    expect(configuration.adopt(offer(4, isNumbered))).toBe('adopted');
-    expect(configuration.current).toMatchObject({ number: 4, digest: offer(4).digest });
+  it('adopts a newer configuration from the changed files alone', () => {
+    expect(configuration.adopt(updateTo(4, holdsNumber))).toBe('adopted');
+    expect(configuration.current).toMatchObject({ number: 4, digest: updateTo(4).digest });
   });
 
-  it('never moves down, nor to the same number again', () => {
-    expect(configuration.adopt(offer(2))).toBe('not-newer');
-    expect(configuration.adopt(offer(3))).toBe('not-newer');
+  it('rejects a lower or equal number', () => {
+    expect(configuration.adopt(updateTo(2))).toBe('not-newer');
+    expect(configuration.adopt(updateTo(3))).toBe('not-newer');
     expect(configuration.number).toBe(3);
   });
 
-  it('asks for everything when the changes do not lead to what they name', () => {
-    expect(configuration.adopt({ ...offer(5, isNumbered), digest: 'another' })).toBe('incomplete');
+  it('requests all files after a digest mismatch', () => {
+    expect(configuration.adopt({ ...updateTo(5, holdsNumber), digest: 'another' })).toBe(
+      'incomplete',
+    );
     expect(configuration).toMatchObject({ number: 3, knownNumber: 0 });
-    expect(configuration.adopt(offer(5))).toBe('adopted');
+    expect(configuration.adopt(updateTo(5))).toBe('adopted');
     expect(configuration).toMatchObject({ number: 5, knownNumber: 5 });
   });
 
-  it('asks for everything when a file is missing', () => {
-    const { names } = offer(4);
-    const missing = { ...offer(4, isNumbered), names: [...names, 'new.toml'] };
+  it('returns `incomplete` when a named file is missing', () => {
+    const { names } = updateTo(4);
+    const missing = { ...updateTo(4, holdsNumber), names: [...names, 'new.toml'] };
     expect(configuration.adopt(missing)).toBe('incomplete');
   });
 });
--- a/src/configuration/tests/parse.test.ts
+++ b/src/configuration/tests/parse.test.ts
@@ -1,14 +1,17 @@
 import { type SourceFile, digestFiles, parseConfiguration, safeParseConfiguration } from '..';
 import { localFiles } from '../../local/configuration';
 
-const target = (name: string, port: number) => ({
+const createTarget = (name: string, port: number) => ({
   name,
   availabilityZone: 'zone-a',
   sidecar: { host: '127.0.0.1', port },
   address: { host: '127.0.0.1', port: port + 1 },
 });
 
-const files = localFiles({ engines: [target('engine-a', 7000)], plain: [target('plain-a', 7002)] });
+const files = localFiles({
+  engines: [createTarget('engine-a', 7000)],
+  plain: [createTarget('plain-a', 7002)],
+});
 
 function codesOf(sources: readonly SourceFile[]): readonly string[] {
   const result = safeParseConfiguration(sources);
@@ -26,7 +29,7 @@
       ]);
     });
 
-    it('identifies it by its content, whatever the order of the files', () => {
+    it('computes a digest that is independent of the order of the files', () => {
       expect(digestFiles([...files].reverse())).toBe(digestFiles(files));
       expect(parseConfiguration(files).digest).toBe(digestFiles(files));
     });
@@ -51,12 +54,12 @@
       { name: 'b.toml', text: 'number = = 2' },
     ];
 
-    it('names file, key, what was found and the mend, all at once', () => {
+    it('reports every issue of every file, with file, key, value found and correction', () => {
       const result = safeParseConfiguration(faulty);
       expect(result.err && result.val.message).toMatchSnapshot();
     });
 
-    it('finds references to nothing, repeated names and services that lack something', () => {
+    it('reports unknown references, repeated names and services without a required key', () => {
       const text = `
 number = 1
 [[availability-zone]]
@@ -81,16 +84,16 @@
       expect(result.err && result.val.issues).toMatchSnapshot();
     });
 
-    it('finds a key that two teams hold, in whatever files, without naming it', () => {
+    it('reports a key shared by teams of different files, without its digest', () => {
       const digest = 'b'.repeat(64);
-      const teamOf = (name: string) => `[[team]]
+      const teamSection = (name: string) => `[[team]]
 name = "${name}"
 key-digests = ["${digest}"]
 default-program = "none"
 `;
       const result = safeParseConfiguration([
-        { name: 'a.toml', text: `number = 1\n${teamOf('red')}` },
-        { name: 'b.toml', text: teamOf('blue') },
+        { name: 'a.toml', text: `number = 1\n${teamSection('red')}` },
+        { name: 'b.toml', text: teamSection('blue') },
       ]);
       const issues = result.err ? result.val.issues : [];
       const shared = issues.filter(({ code }) => code === 'shared_key');
@@ -99,7 +102,7 @@
       expect(shared[0]?.message).not.toContain(digest);
     });
 
-    it('refuses a directory with two numbers, or none', () => {
+    it('rejects a directory with two numbers or none', () => {
       const numbered = { name: 'z.toml', text: 'number = 3' };
       expect(codesOf([...files, numbered])).toEqual(['number_twice']);
       expect(codesOf(files.slice(1))).toContain('number_missing');
