--- a/src/settings/groups.ts
+++ b/src/settings/groups.ts
@@ -1,13 +1,13 @@
 import type { ClusterSettings } from './schema';
 
-/** A group that holds programs, and the control hosts that are its members, its leader first. */
+/** A replication group of programs, and the control hosts that are its members, preferred leader first. */
 export interface ProgramGroup {
   readonly name: string;
   readonly region: string;
   readonly hosts: readonly string[];
 }
 
-/** The groups of all regions, in an order that is the same in every process. */
+/** The program groups of all regions; the result is the same in every process. */
 export function programGroups(cluster: ClusterSettings): readonly ProgramGroup[] {
   const regions = [...new Set(cluster.control.map((member) => member.region))].sort();
   return regions.flatMap((region) => {
@@ -22,7 +22,7 @@
   });
 }
 
-/** Each group lists another host first, so that leaders are spread over the hosts. */
+/** Gives each group another preferred leader, to spread the leaders over the hosts. */
 function rotate(hosts: readonly string[], count: number): readonly string[] {
   const start = count % hosts.length;
   return [...hosts.slice(start), ...hosts.slice(0, start)];
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -3,10 +3,10 @@
 import type * as z from 'zod';
 import { MartenbayError, issuesOf, messageOf, parseDocument } from '../core';
 
-/** A process's settings file can't be read or is not valid. */
+/** A settings file can't be read or is not valid. */
 export class SettingsError extends MartenbayError {}
 
-/** Checks settings text against a schema; the error carries every issue at once. */
+/** Parses and validates the text of a settings file; the error holds all issues. */
 export function safeParseSettings<T extends z.ZodType>(
   schema: T,
   file: string,
@@ -19,7 +19,6 @@
   return Err(new SettingsError(issuesOf(file, parsed.error, document.value)));
 }
 
-/** Reads and checks a settings file. */
 export function safeLoadSettings<T extends z.ZodType>(
   schema: T,
   file: string,
@@ -36,7 +35,7 @@
   return safeParseSettings(schema, file, text);
 }
 
-/** The throwing form of {@link safeLoadSettings}. */
+/** Like {@link safeLoadSettings}, but throws the error. */
 export function loadSettings<T extends z.ZodType>(schema: T, file: string): z.output<T> {
   const result = safeLoadSettings(schema, file);
   if (result.err) throw result.val;
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -7,20 +7,19 @@
 const member = z.strictObject({
   name,
   address: addressSchema,
-  /** Region whose programs it holds; every control host holds the configuration. */
+  /** Region whose programs the host stores; all control hosts store the configuration. */
   region: name.default('main'),
 });
 
-/** What every process of one installation shares. */
+/** Settings that must be equal in all processes of a cluster. */
 const cluster = z.strictObject({
-  /** The control hosts, the same list in every process. */
   control: z.array(member).min(1).readonly(),
   /**
-   * Groups that the programs of each region are spread over, the same in every process. It may be
-   * raised: programs stay in the group that they were started in.
+   * Number of replication groups for the programs of each region. It may be increased, as a
+   * program stays in the group in which it was started.
    */
   'program-groups': z.int().min(1).max(64).default(4),
-  /** Secret that processes show one another. */
+  /** Shared secret that authenticates processes to each other. */
   'process-credential': z.string().min(16),
 });
 
@@ -32,70 +31,70 @@
   'log-level': logLevel,
 });
 
-/** Settings of `martenbay-control`. */
+/** Settings of the `martenbay-control` process. */
 export const controlSettingsSchema = z.strictObject({
   host,
   cluster,
   control: z.strictObject({
-    /** Folder of all durable state. */
+    /** Folder of the durable state. */
     'data-folder': z.string().min(1),
-    /** Secret that operators' command lines show. */
+    /** Secret that authenticates operator commands. */
     'operator-credential': z.string().min(16),
     'heartbeat-milliseconds': milliseconds.default(100),
-    /** Shortest silence after which a member stands for election; the longest is half as much again. */
+    /** Minimum election timeout; each timeout is random, up to 1.5 times this value. */
     'election-milliseconds': milliseconds.default(500),
-    /** Applied changes of one group from which a snapshot takes their place. */
+    /** Applied log entries of one group after which a snapshot replaces them. */
     'snapshot-entries': z.int().min(16).default(4096),
-    /** Histories and answers used lately that each group holds in memory. */
+    /** Size of each group's in-memory cache of message histories and answers. */
     'history-cache-megabytes': z.int().nonnegative().default(16),
-    /** How long an entry or sidecar counts as live after its last heartbeat. */
+    /** Session timeout: an entry or sidecar counts as live this long after its last heartbeat. */
     'session-milliseconds': milliseconds.default(3000),
-    /** How long an ended program's answers are kept for resends. */
+    /** How long an ended program and its answers are kept for repeated requests. */
     'retention-seconds': z.int().positive().default(600),
-    /** How often idle programs and held cache are looked for. */
+    /** Interval of the checks for expired programs, targets without a session and pending orders. */
     'sweep-milliseconds': milliseconds.default(1000),
   }),
-  /** What the platform offers; without it, only the sidecars tell that a target leaves. */
+  /** Host list of the platform. Without it, only its sidecar reports that a target is draining. */
   platform: z
     .strictObject({
-      /** Where the list of live and leaving hosts is read. */
+      /** Address that serves the list of live and draining hosts. */
       'host-list': addressSchema,
       'host-list-milliseconds': milliseconds.default(1000),
     })
     .optional(),
 });
 
-/** Settings of `martenbay-entry`. */
+/** Settings of the `martenbay-entry` process. */
 export const entrySettingsSchema = z.strictObject({
   host,
   cluster,
   entry: z
     .strictObject({
       'heartbeat-milliseconds': milliseconds.default(1000),
-      /** Deadline of a call that names none. */
+      /** Deadline of a call without a deadline of its own. */
       'default-deadline-milliseconds': milliseconds.default(120_000),
-      /** Largest request body, in bytes. */
+      /** Maximum size of a request body. */
       'body-limit-bytes': z.int().positive().default(8_388_608),
-      /** Largest total of request headers, in bytes. */
+      /** Maximum total size of the request headers. */
       'header-limit-bytes': z.int().positive().default(16_384),
       policy: z.enum(['round-robin', 'least-load', 'affinity']).default('affinity'),
     })
     .prefault({}),
 });
 
-/** Settings of `martenbay-sidecar`. */
+/** Settings of the `martenbay-sidecar` process. */
 export const sidecarSettingsSchema = z.strictObject({
   host,
   cluster,
   sidecar: z.strictObject({
-    /** Name of the target in the operators' files. */
+    /** Name of the target in the configuration. */
     target: name,
-    /** Where the target itself listens. */
+    /** Address that the target itself listens on. */
     'target-address': addressSchema,
     'heartbeat-milliseconds': milliseconds.default(1000),
-    /** How often the target's load is read. */
+    /** Interval at which the target's load is read. */
     'load-milliseconds': milliseconds.default(1000),
-    /** Calls under way at the target beyond which a new one is refused as not run. */
+    /** Maximum calls in flight at the target; further calls are refused with outcome `not-run`. */
     'calls-at-once': z.int().positive().default(256),
   }),
 });
--- a/src/settings/tests/settings.test.ts
+++ b/src/settings/tests/settings.test.ts
@@ -12,7 +12,7 @@
 `;
 
 describe('settings', () => {
-  it('fill in what is not given', () => {
+  it('apply defaults and parse addresses', () => {
     const result = safeParseSettings(entrySettingsSchema, 'entry.toml', VALID);
     expect(result.ok && result.val.entry.policy).toBe('affinity');
     expect(result.ok && result.val.cluster.control[0]?.address).toEqual({
@@ -21,7 +21,7 @@
     });
   });
 
-  it('name file, key, what was found and the mend, all at once', () => {
+  it('report every issue, with file, key, value found and correction', () => {
     const faulty = VALID.replace('127.0.0.1:8080', 'localhost:8080')
       .replace('zone-a', 'Zone A')
       .replace('process-credential = "sixteen-letters-at-least"', 'process-credential = "short"');
