--- a/src/storage/segmented-store.ts
+++ b/src/storage/segmented-store.ts
@@ -262,11 +262,7 @@
 
   async #writeFrame(records: readonly string[]): Promise<void> {
     if (this.#file === undefined) {
-      throw StorageError.at(
-        this.#folder,
-        'not_open',
-        'the store is not open; call load() before it is used',
-      );
+      throw StorageError.at(this.#folder, 'not_open', 'the store is closed or was not loaded');
     }
     if (this.#segmentSize > this.#segmentBytes) await this.#beginSegment(this.#segment + 1);
     const frame = encodeFrame(records);
