--- a/src/sidecar/attempts.ts
+++ b/src/sidecar/attempts.ts
@@ -1,74 +1,74 @@
 import type { CallAnswer } from '../state';
 
-/** What a sidecar knows of one attempt of a call that may not be repeated. */
+/** State of one attempt of a non-repeatable call. */
 export type AttemptState =
   | { readonly state: 'running' }
   | { readonly state: 'answered'; readonly answer: CallAnswer }
-  /** It was sent, and its answer is lost or too large to keep. */
+  /** Sent to the target, but the response was lost, too large or evicted. */
   | { readonly state: 'unknown' }
-  /** It was never sent and never will be. */
+  /** Not sent to the target, and never will be. */
   | { readonly state: 'revoked' };
 
-/** Whether an attempt may be sent; a used one was sent before, a revoked one never will be. */
+/** `used`: the attempt was admitted before; `revoked`: it must never be sent. */
 export type Admission = 'admitted' | 'revoked' | 'used';
 
-/** Attempts whose states are kept; the oldest settled one is forgotten beyond that. */
-const ATTEMPT_LIMIT = 4096;
+/** Above this count, the oldest attempts that are not running are evicted. */
+const MAX_ATTEMPTS = 4096;
 
-/** Bytes of answers that are kept. */
-const ANSWER_LIMIT_BYTES = 4 * 1024 * 1024;
+/** Limit on the total length of the retained base64 response bodies. */
+const MAX_RETAINED_BYTES = 4 * 1024 * 1024;
 
 /**
- * The attempts of calls that may not be repeated. Admitting and revoking exclude each other: once
- * an attempt was revoked it can't be sent, and an attempt that was admitted is told as such.
+ * Attempts of non-repeatable calls. Admission and revocation are mutually exclusive: a revoked
+ * attempt is never admitted, and revoking an admitted one returns its state.
  */
 export class AttemptTable {
   readonly #attempts = new Map<string, AttemptState>();
-  #answerBytes = 0;
+  #retainedBytes = 0;
 
-  /** Admits an attempt that was neither admitted nor revoked before. */
   admit(attempt: string): Admission {
-    const known = this.#attempts.get(attempt);
-    if (known !== undefined) return known.state === 'revoked' ? 'revoked' : 'used';
+    const existing = this.#attempts.get(attempt);
+    if (existing !== undefined) return existing.state === 'revoked' ? 'revoked' : 'used';
     this.#attempts.set(attempt, { state: 'running' });
     return 'admitted';
   }
 
-  /** Takes back an admission: the target provably did not get the call. */
-  withdraw(attempt: string): void {
+  /** Marks an admitted attempt as revoked, as the target did not receive the call. */
+  markNotRun(attempt: string): void {
     this.#attempts.set(attempt, { state: 'revoked' });
   }
 
-  /** Keeps the answer of an admitted attempt; nothing when it is not known. */
-  settle(attempt: string, answer: CallAnswer | undefined): void {
+  /** Records the response of an admitted attempt; `undefined` if it was lost or is too large. */
+  complete(attempt: string, answer: CallAnswer | undefined): void {
     const state: AttemptState =
       answer === undefined ? { state: 'unknown' } : { state: 'answered', answer };
     this.#attempts.set(attempt, state);
-    this.#answerBytes += answer?.body.length ?? 0;
-    this.#forget();
+    this.#retainedBytes += answer?.body.length ?? 0;
+    this.#evict();
   }
 
-  /** Revokes an attempt unless it was admitted, and tells where it stands. */
+  /** Revokes an attempt unless it was admitted; returns its state. */
   revoke(attempt: string): AttemptState {
-    const known = this.#attempts.get(attempt);
-    if (known !== undefined) return known;
+    const existing = this.#attempts.get(attempt);
+    if (existing !== undefined) return existing;
     const revoked: AttemptState = { state: 'revoked' };
     this.#attempts.set(attempt, revoked);
-    this.#forget();
+    this.#evict();
     return revoked;
   }
 
   /**
-   * Forgets the oldest settled attempts. One that is forgotten could be admitted again, so the
-   * limit exceeds by far what can be delayed on the way.
+   * Evicts the oldest responses above the size limit and the oldest attempts above the count limit.
+   * An evicted attempt could be admitted again, so the count limit must exceed the number of
+   * requests that can be delayed in transit.
    */
-  #forget(): void {
+  #evict(): void {
     for (const [attempt, state] of this.#attempts) {
-      const tooMany = this.#attempts.size > ATTEMPT_LIMIT;
-      if (!tooMany && this.#answerBytes <= ANSWER_LIMIT_BYTES) return;
+      const overCountLimit = this.#attempts.size > MAX_ATTEMPTS;
+      if (!overCountLimit && this.#retainedBytes <= MAX_RETAINED_BYTES) return;
       if (state.state === 'running') continue;
-      if (state.state === 'answered') this.#answerBytes -= state.answer.body.length;
-      if (tooMany) this.#attempts.delete(attempt);
+      if (state.state === 'answered') this.#retainedBytes -= state.answer.body.length;
+      if (overCountLimit) this.#attempts.delete(attempt);
       else this.#attempts.set(attempt, { state: 'unknown' });
     }
   }
--- a/src/sidecar/gateway.ts
+++ b/src/sidecar/gateway.ts
@@ -11,24 +11,24 @@
 } from '../protocol';
 import type { CallAnswer } from '../state';
 import { type AttemptState, AttemptTable } from './attempts';
-import { type TargetClient, TargetError, readWhole } from './target-client';
+import { type TargetClient, TargetError, readBody } from './target-client';
 
-export interface GatewayOptions {
+export interface TargetProxyOptions {
   readonly client: TargetClient;
   readonly incarnation: string;
   readonly credential: string;
-  readonly callsAtOnce: number;
+  readonly maxConcurrentCalls: number;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** The target's own load, as last read. */
+  /** Load of the target as last read. */
   readonly load: () => Load;
 }
 
-/** Largest answer that is kept for a resend, in bytes. */
-const ANSWER_LIMIT_BYTES = 1024 * 1024;
+/** Largest response to a non-repeatable call that can be returned and retained. */
+const MAX_RESPONSE_BYTES = 1024 * 1024;
 
-/** Headers that belong to one connection, or to the way between entry and sidecar. */
-const NOT_FORWARDED = new Set<string>([
+/** Hop-by-hop headers (RFC 2616, section 13.5.1), `host`, and headers between entry and sidecar. */
+const UNFORWARDED_HEADERS = new Set<string>([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -42,8 +42,8 @@
   HEADERS.claim,
 ]);
 
-/** Why a call is not admitted, and whether its attempt may have run. */
 interface AdmissionRefusal {
+  /** Whether the attempt may have run. */
   readonly outcome: RunOutcome;
   readonly message: string;
 }
@@ -52,31 +52,31 @@
   return { outcome: 'not-run', message };
 }
 
-/** Admits calls to the target, forwards them, and settles calls that may not be repeated. */
-export class Gateway {
-  readonly #options: GatewayOptions;
+/** Reverse proxy in front of the target: admission control, and revocation of attempts. */
+export class TargetProxy {
+  readonly #options: TargetProxyOptions;
   readonly #attempts = new AttemptTable();
   readonly #inFlight = new InFlight();
-  #leaving = false;
+  #draining = false;
 
-  constructor(options: GatewayOptions) {
+  constructor(options: TargetProxyOptions) {
     this.#options = options;
   }
 
-  /** Calls admitted and not yet answered. */
+  /** Number of admitted calls in flight. */
   get running(): number {
     return this.#inFlight.count;
   }
 
-  /** Refuses new calls from now on, and resolves once those under way are answered. */
+  /** Refuses new calls; resolves once those in flight have ended. */
   drain(): Promise<void> {
-    this.#leaving = true;
+    this.#draining = true;
     return this.#inFlight.idle();
   }
 
   handle(request: IncomingMessage, response: ServerResponse): void {
-    const shown = String(request.headers[HEADERS.credential] ?? '');
-    if (!equalSecrets(shown, this.#options.credential)) {
+    const credential = String(request.headers[HEADERS.credential] ?? '');
+    if (!equalSecrets(credential, this.#options.credential)) {
       refuse(response, 401, 'not-run', 'the process credential is missing or wrong');
       return;
     }
@@ -84,17 +84,17 @@
     if (url.startsWith(`${CALL_PREFIX}/`)) {
       this.#admit(request, response);
     } else if (request.method === 'POST' && url.startsWith(`${ATTEMPT_PREFIX}/`)) {
-      const state = this.#settle(request, decodeURIComponent(url.slice(ATTEMPT_PREFIX.length + 1)));
+      const state = this.#revoke(request, decodeURIComponent(url.slice(ATTEMPT_PREFIX.length + 1)));
       response.writeHead(200, { 'content-type': 'application/json' }).end(JSON.stringify(state));
     } else {
       refuse(response, 404, 'not-run', 'no such path');
     }
   }
 
-  /** Of a claim at an earlier incarnation nothing is known here: its attempts may have run. */
-  #settle(request: IncomingMessage, attempt: string): AttemptState {
-    const ours = request.headers[HEADERS.claim] === this.#options.incarnation;
-    return ours ? this.#attempts.revoke(attempt) : { state: 'unknown' };
+  /** Attempts claimed at another incarnation may have run: their state is unknown. */
+  #revoke(request: IncomingMessage, attempt: string): AttemptState {
+    const isCurrentIncarnation = request.headers[HEADERS.claim] === this.#options.incarnation;
+    return isCurrentIncarnation ? this.#attempts.revoke(attempt) : { state: 'unknown' };
   }
 
   #admit(request: IncomingMessage, response: ServerResponse): void {
@@ -106,16 +106,16 @@
     }
     this.#options.metrics.count('calls_total');
     const claimed = request.headers[HEADERS.claim] !== undefined;
-    const work = claimed
-      ? this.#forwardOnce(request, response)
-      : this.#forwardStream(request, response);
-    this.#inFlight.track(work);
+    const forwarding = claimed
+      ? this.#forwardNonRepeatable(request, response)
+      : this.#forwardRepeatable(request, response);
+    this.#inFlight.track(forwarding);
   }
 
-  /** Why a call is not admitted; nothing when it is. */
+  /** Checks admission; returns `undefined` if the call is admitted. */
   #refusal(request: IncomingMessage): AdmissionRefusal | undefined {
-    if (this.#leaving) return notRun('the target is leaving');
-    if (this.running >= this.#options.callsAtOnce) return notRun('the target is full');
+    if (this.#draining) return notRun('the target is leaving');
+    if (this.running >= this.#options.maxConcurrentCalls) return notRun('the target is full');
     const claim = request.headers[HEADERS.claim];
     if (claim === undefined) return undefined;
     if (claim !== this.#options.incarnation) return notRun('the claim is for another incarnation');
@@ -129,61 +129,68 @@
     }
   }
 
-  /** Forwards a call that may be repeated; it ends with its caller's connection. */
-  async #forwardStream(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  /** Streams the response; aborts the call when the client's connection closes. */
+  async #forwardRepeatable(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const controller = new AbortController();
     response.once('close', () => {
       controller.abort();
     });
     try {
-      const answer = await this.#send(request, false, controller.signal);
-      response.writeHead(answer.statusCode ?? 502, this.#answerHeaders(answer.headers));
+      const targetResponse = await this.#send(request, false, controller.signal);
+      response.writeHead(
+        targetResponse.statusCode ?? 502,
+        this.#responseHeaders(targetResponse.headers),
+      );
       response.flushHeaders();
-      await pipeline(answer, response);
+      await pipeline(targetResponse, response);
     } catch (error) {
       this.#fail(response, error);
     }
   }
 
-  /** Forwards a call that may not be repeated; it is carried through even if its caller leaves. */
-  async #forwardOnce(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  /** Completes the call even if the client disconnects, and records its response. */
+  async #forwardNonRepeatable(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const attempt = String(request.headers[HEADERS.attempt]);
     try {
-      const answer = await this.#send(request, true, new AbortController().signal);
-      const body = await readWhole(answer, ANSWER_LIMIT_BYTES);
-      const status = answer.statusCode ?? 502;
-      const contentType = answer.headers['content-type'] ?? 'application/octet-stream';
-      this.#attempts.settle(attempt, body && keepAnswer(status, contentType, body));
+      const targetResponse = await this.#send(request, true, new AbortController().signal);
+      const body = await readBody(targetResponse, MAX_RESPONSE_BYTES);
+      const status = targetResponse.statusCode ?? 502;
+      const contentType = targetResponse.headers['content-type'] ?? 'application/octet-stream';
+      this.#attempts.complete(attempt, body && toCallAnswer(status, contentType, body));
       if (body === undefined) throw new TargetError('the answer is too large to keep', false);
-      const headers = this.#answerHeaders(answer.headers);
+      const headers = this.#responseHeaders(targetResponse.headers);
       response.writeHead(status, { ...headers, 'content-length': body.length }).end(body);
     } catch (error) {
-      if (error instanceof TargetError && error.notRun) this.#attempts.withdraw(attempt);
-      else this.#attempts.settle(attempt, undefined);
+      if (error instanceof TargetError && error.notRun) this.#attempts.markNotRun(attempt);
+      else this.#attempts.complete(attempt, undefined);
       this.#fail(response, error);
     }
   }
 
-  #send(request: IncomingMessage, once: boolean, signal: AbortSignal): Promise<IncomingMessage> {
+  #send(
+    request: IncomingMessage,
+    freshConnection: boolean,
+    signal: AbortSignal,
+  ): Promise<IncomingMessage> {
     const headers = Object.fromEntries(
-      Object.entries(request.headers).filter(([name]) => !NOT_FORWARDED.has(name)),
+      Object.entries(request.headers).filter(([name]) => !UNFORWARDED_HEADERS.has(name)),
     );
     return this.#options.client.send({
       method: request.method ?? 'GET',
       path: (request.url ?? '').slice(CALL_PREFIX.length),
       headers: { ...headers, 'x-request-id': String(request.headers[HEADERS.attempt] ?? '') },
       body: request,
-      freshConnection: once,
+      freshConnection,
       signal,
     });
   }
 
-  #answerHeaders(headers: IncomingHttpHeaders): Record<string, string | string[]> {
-    const kept = Object.entries(headers).filter(
+  #responseHeaders(headers: IncomingHttpHeaders): Record<string, string | string[]> {
+    const forwarded = Object.entries(headers).filter(
       (entry): entry is [string, string | string[]] =>
-        entry[1] !== undefined && !NOT_FORWARDED.has(entry[0]),
+        entry[1] !== undefined && !UNFORWARDED_HEADERS.has(entry[0]),
     );
-    return { ...Object.fromEntries(kept), [HEADERS.load]: formatLoad(this.#options.load()) };
+    return { ...Object.fromEntries(forwarded), [HEADERS.load]: formatLoad(this.#options.load()) };
   }
 
   #fail(response: ServerResponse, error: unknown): void {
@@ -194,7 +201,7 @@
   }
 }
 
-function keepAnswer(status: number, contentType: string, body: Buffer): CallAnswer {
+function toCallAnswer(status: number, contentType: string, body: Buffer): CallAnswer {
   return { kind: 'call', status, contentType, body: body.toString('base64') };
 }
 
--- a/src/sidecar/load.ts
+++ b/src/sidecar/load.ts
@@ -2,12 +2,15 @@
 import type { Configuration } from '../configuration';
 import { type Logger, messageOf } from '../core';
 import type { Load } from '../protocol';
-import type { Gateway } from './gateway';
+import type { TargetProxy } from './gateway';
 import type { TargetClient } from './target-client';
 
 const loadSchema = z.object({ running: z.int(), waiting: z.int() });
 
-/** Whether a target is an engine; a plain service gets no request that no caller made. */
+/**
+ * Whether a target serves an engine service. Plain services are not polled for their load: they
+ * receive only requests of callers.
+ */
 export function isEngine(configuration: Configuration | undefined, target: string): boolean {
   const pools = (configuration?.pools ?? [])
     .filter((pool) => pool.targets.some((entry) => entry.name === target))
@@ -17,17 +20,17 @@
   );
 }
 
-/** Reads an engine's own load; if it reports none, the calls under way count. */
+/** Reads the load that an engine reports; falls back to the calls in flight at this sidecar. */
 export async function readEngineLoad(
   client: TargetClient,
-  gateway: Gateway,
+  proxy: TargetProxy,
   logger: Logger,
 ): Promise<Load> {
   try {
-    const parsed = loadSchema.safeParse(await client.json('GET', '/load'));
+    const parsed = loadSchema.safeParse(await client.requestJson('GET', '/load'));
     if (parsed.success) return parsed.data;
   } catch (error) {
     logger.debug({ event: 'load-unreadable', error: messageOf(error) });
   }
-  return { running: gateway.running, waiting: 0 };
+  return { running: proxy.running, waiting: 0 };
 }
--- a/src/sidecar/orders.ts
+++ b/src/sidecar/orders.ts
@@ -5,66 +5,64 @@
 export interface OrderRunnerOptions {
   readonly client: TargetClient;
   readonly logger: Logger;
-  /** Asks a quorum of the control hosts for the highest term that they know. */
-  readonly learnTerm: () => Promise<number>;
-  /** Tells the leader that orders were carried out. */
+  /** Queries a quorum of the control hosts for the highest term known to them. */
+  readonly fetchHighestTerm: () => Promise<number>;
+  /** Reports completed orders to the leader, by id. */
   readonly confirm: (orders: readonly string[]) => Promise<void>;
 }
 
 /**
- * Carries out orders at the target. Each carries the term of the leader that sent it; an order
- * from a lower term than the highest known is refused here, for targets that don't check it. Since
- * a sidecar that was restarted has seen no term, it asks a quorum before its first order: whoever
- * leads was elected by one.
+ * Executes orders of the leader at the target, with the leader's term as fencing token. Orders from
+ * a lower term than the highest known are rejected, since not every target checks the token. After
+ * a start no term is known: before the first order the highest one is queried from a quorum, since
+ * every leader was elected by a quorum.
  */
 export class OrderRunner {
   readonly #options: OrderRunnerOptions;
   #highestTerm = 0;
-  #learned = false;
+  #termFetched = false;
 
   constructor(options: OrderRunnerOptions) {
     this.#options = options;
   }
 
-  /**
-   * Runs the orders of one leader and confirms those that took effect; returns whether all did.
-   */
+  /** Executes orders of one leader and confirms the accepted ones; resolves with whether all were. */
   async run(orders: readonly Order[], term: number): Promise<boolean> {
-    if (!(await this.#learn())) return false;
+    if (!(await this.#ensureHighestTerm())) return false;
     if (term < this.#highestTerm) {
       this.#options.logger.warn({ event: 'orders-refused', term, highest: this.#highestTerm });
       return false;
     }
     this.#highestTerm = term;
-    const done: string[] = [];
+    const completed: string[] = [];
     for (const order of orders) {
-      if (await this.#carryOut(order, term)) done.push(order.id);
+      if (await this.#execute(order, term)) completed.push(order.id);
     }
-    if (done.length > 0) await this.#options.confirm(done);
-    return done.length === orders.length;
+    if (completed.length > 0) await this.#options.confirm(completed);
+    return completed.length === orders.length;
   }
 
-  async #learn(): Promise<boolean> {
-    if (this.#learned) return true;
-    const { learnTerm, logger } = this.#options;
+  async #ensureHighestTerm(): Promise<boolean> {
+    if (this.#termFetched) return true;
+    const { fetchHighestTerm, logger } = this.#options;
     try {
-      this.#highestTerm = Math.max(this.#highestTerm, await learnTerm());
-      this.#learned = true;
+      this.#highestTerm = Math.max(this.#highestTerm, await fetchHighestTerm());
+      this.#termFetched = true;
     } catch (error) {
       logger.warn({ event: 'term-unknown', error: messageOf(error) });
     }
-    return this.#learned;
+    return this.#termFetched;
   }
 
-  async #carryOut(order: Order, term: number): Promise<boolean> {
+  async #execute(order: Order, term: number): Promise<boolean> {
     const { kind, program, target } = order;
     try {
-      const answer = await this.#options.client.json('POST', '/orders', {
+      const response = await this.#options.client.requestJson('POST', '/orders', {
         kind,
         program,
         fence: term,
       });
-      const accepted = answer !== undefined;
+      const accepted = response !== undefined;
       this.#options.logger.info({ event: 'order', kind, program, target, term, accepted });
       return accepted;
     } catch (error) {
--- a/src/sidecar/process.ts
+++ b/src/sidecar/process.ts
@@ -18,7 +18,7 @@
   answerHealth,
 } from '../protocol';
 import type { SidecarSettings } from '../settings';
-import { Gateway } from './gateway';
+import { TargetProxy } from './gateway';
 import { isEngine, readEngineLoad } from './load';
 import { OrderRunner } from './orders';
 import { TargetClient } from './target-client';
@@ -30,10 +30,10 @@
   readonly logger: Logger;
 }
 
-/** Pause before orders that failed are asked for again; milliseconds. */
-const ORDER_RETRY_MILLISECONDS = 500;
+/** Delay before failed orders are requested again. */
+const ORDER_RETRY_DELAY_MILLISECONDS = 500;
 
-/** Wires up the sidecar of one target; the life cycle that is returned starts and stops it. */
+/** Creates the sidecar of one target; the returned life cycle starts and stops it. */
 export function createSidecarProcess(options: SidecarProcessOptions): LifeCycle {
   const { settings, clock, random, logger } = options;
   const { host, cluster, sidecar } = settings;
@@ -42,43 +42,43 @@
   const metrics = new Metrics();
   const configuration = new ConfigurationInForce();
   const targetClient = new TargetClient(sidecar['target-address'], clock);
-  const control = new ControlClient({ members: cluster.control, credential, clock });
+  const controlClient = new ControlClient({ members: cluster.control, credential, clock });
   let load: Load = { running: 0, waiting: 0 };
-  let leaving = false;
+  let draining = false;
 
-  const gateway = new Gateway({
+  const proxy = new TargetProxy({
     client: targetClient,
     incarnation,
     credential,
-    callsAtOnce: sidecar['calls-at-once'],
+    maxConcurrentCalls: sidecar['calls-at-once'],
     logger,
     metrics,
     load: () => load,
   });
-  metrics.gauge('calls_running', () => gateway.running);
+  metrics.gauge('calls_running', () => proxy.running);
   const orders = new OrderRunner({
     client: targetClient,
     logger,
-    learnTerm: async () => {
-      const answers = await control.askMajority((connection, signal) =>
+    fetchHighestTerm: async () => {
+      const responses = await controlClient.askMajority((connection, signal) =>
         connection.groups.knownTerm.query(undefined, { signal }),
       );
-      return Math.max(...answers.map((answer) => answer.term));
+      return Math.max(...responses.map((response) => response.term));
     },
-    confirm: async (done) => {
-      await control.call((connection, signal) =>
-        connection.nodes.confirmOrders.mutate({ orders: [...done] }, { signal }),
+    confirm: async (completed) => {
+      await controlClient.call((connection, signal) =>
+        connection.nodes.confirmOrders.mutate({ orders: [...completed] }, { signal }),
       );
     },
   });
   const onChanges = async (changes: WatchChanges) => {
     adoptChanges(configuration, changes, presence, logger);
     if (changes.orders.length === 0) return;
-    const complete = await orders.run(changes.orders, changes.term);
-    if (!complete) await delay(clock, ORDER_RETRY_MILLISECONDS);
+    const allCompleted = await orders.run(changes.orders, changes.term);
+    if (!allCompleted) await delay(clock, ORDER_RETRY_DELAY_MILLISECONDS);
   };
   const presence = new Presence({
-    client: control,
+    client: controlClient,
     clock,
     logger,
     heartbeatMilliseconds: sidecar['heartbeat-milliseconds'],
@@ -86,7 +86,7 @@
       kind: 'sidecar',
       name: host.name,
       incarnation,
-      state: leaving ? 'leaving' : 'serving',
+      state: draining ? 'leaving' : 'serving',
       configurationNumber: configuration.number,
       target: sidecar.target,
       load,
@@ -97,29 +97,29 @@
   const listener = new HttpListener({
     address: host.address,
     handle: (request, response) => {
-      const notReady = () => (leaving ? 'the target is leaving' : undefined);
+      const notReady = () => (draining ? 'the target is leaving' : undefined);
       if (answerHealth({ notReady, metrics }, request, response)) return;
-      gateway.handle(request, response);
+      proxy.handle(request, response);
     },
   });
 
   const lifeCycle = new LifeCycle();
   lifeCycle.add('target-client', targetClient);
-  lifeCycle.add('control-client', control);
+  lifeCycle.add('control-client', controlClient);
   lifeCycle.add('listener', listener);
   lifeCycle.add(
     'load',
     new PeriodicTask(clock, sidecar['load-milliseconds'], async () => {
       load = isEngine(configuration.current, sidecar.target)
-        ? await readEngineLoad(targetClient, gateway, logger)
-        : { running: gateway.running, waiting: 0 };
+        ? await readEngineLoad(targetClient, proxy, logger)
+        : { running: proxy.running, waiting: 0 };
     }),
   );
   lifeCycle.add('presence', presence);
   lifeCycle.add('drain', {
     stop: async () => {
-      leaving = true;
-      const drained = gateway.drain();
+      draining = true;
+      const drained = proxy.drain();
       await presence.announce();
       await drained;
     },
--- a/src/sidecar/target-client.ts
+++ b/src/sidecar/target-client.ts
@@ -2,9 +2,9 @@
 import type { Readable } from 'node:stream';
 import { type Address, type Clock, MartenbayError, messageOf, startTimeout } from '../core';
 
-/** A call did not get an answer from the target. */
+/** The target did not respond to a call, or its response can't be retained. */
 export class TargetError extends MartenbayError {
-  /** Whether the target provably never got the call. */
+  /** True if the connection failed, so that no byte of the call reached the target. */
   readonly notRun: boolean;
 
   constructor(message: string, notRun: boolean, cause?: unknown) {
@@ -17,17 +17,19 @@
   readonly method: string;
   readonly path: string;
   readonly headers: IncomingHttpHeaders;
-  /** Body as a stream, or whole. */
   readonly body: Readable | string;
-  /** A connection of its own, so that a refused connection proves that the call did not run. */
+  /**
+   * Opens a new connection. A pooled one may fail after the target received the call; a new one
+   * that is refused proves that the call did not run.
+   */
   readonly freshConnection: boolean;
   readonly signal: AbortSignal;
 }
 
-/** Failures to connect: not one byte of the call reached the target. */
-const CONNECT_FAILURES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
+/** Errors of `connect`: no byte of the call reached the target. */
+const CONNECT_ERRORS = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
-/** HTTP client to the one target that a sidecar stands beside. */
+/** HTTP client for the target of a sidecar. */
 export class TargetClient {
   readonly #address: Address;
   readonly #clock: Clock;
@@ -38,7 +40,7 @@
     this.#clock = clock;
   }
 
-  /** Sends a call and resolves with the answer's head; its body is still to be read. */
+  /** Resolves once the response headers arrived; the caller reads the body. */
   send(call: TargetRequest): Promise<IncomingMessage> {
     const { method, path, headers, body, freshConnection, signal } = call;
     return new Promise((resolve, reject) => {
@@ -53,7 +55,7 @@
       });
       outgoing.once('response', resolve);
       outgoing.once('error', (error: NodeJS.ErrnoException) => {
-        const notRun = CONNECT_FAILURES.has(error.code ?? '');
+        const notRun = CONNECT_ERRORS.has(error.code ?? '');
         reject(new TargetError(`the target gave no answer: ${messageOf(error)}`, notRun, error));
       });
       if (typeof body === 'string') outgoing.end(body);
@@ -61,8 +63,8 @@
     });
   }
 
-  /** Sends JSON and reads a JSON answer; nothing unless its status is 200. */
-  async json(method: 'GET' | 'POST', path: string, content?: unknown): Promise<unknown> {
+  /** Sends JSON and parses the JSON response; resolves with `undefined` unless the status is 200. */
+  async requestJson(method: 'GET' | 'POST', path: string, content?: unknown): Promise<unknown> {
     const body = content === undefined ? '' : JSON.stringify(content);
     const { controller, cancel } = startTimeout(this.#clock, JSON_TIMEOUT_MILLISECONDS);
     try {
@@ -77,7 +79,7 @@
         freshConnection: false,
         signal: controller.signal,
       });
-      const text = (await readWhole(response, JSON_LIMIT_BYTES))?.toString() ?? '';
+      const text = (await readBody(response, MAX_JSON_BYTES))?.toString() ?? '';
       return response.statusCode === 200 ? (JSON.parse(text) as unknown) : undefined;
     } finally {
       cancel();
@@ -90,10 +92,13 @@
 }
 
 const JSON_TIMEOUT_MILLISECONDS = 2000;
-const JSON_LIMIT_BYTES = 1024 * 1024;
+const MAX_JSON_BYTES = 1024 * 1024;
 
-/** Reads a whole body; nothing when it is larger than `limitBytes`, the rest being discarded. */
-export async function readWhole(
+/**
+ * Reads a body to its end. Resolves with `undefined` if it is larger than `limitBytes`; the excess
+ * is read and discarded.
+ */
+export async function readBody(
   stream: IncomingMessage,
   limitBytes: number,
 ): Promise<Buffer | undefined> {
--- a/src/sidecar/tests/attempts.test.ts
+++ b/src/sidecar/tests/attempts.test.ts
@@ -1,43 +1,43 @@
 import { AttemptTable } from '../attempts';
 
-const ANSWER = { kind: 'call', status: 200, contentType: 'text/plain', body: '' } as const;
+const RESPONSE = { kind: 'call', status: 200, contentType: 'text/plain', body: '' } as const;
 
-describe('attempts at a sidecar', () => {
+describe('AttemptTable', () => {
   let attempts: AttemptTable;
 
   beforeEach(() => {
     attempts = new AttemptTable();
   });
 
-  it('are admitted once', () => {
+  it('admits an attempt only once', () => {
     expect(attempts.admit('a')).toBe('admitted');
     expect(attempts.admit('a')).toBe('used');
   });
 
-  it('are never admitted after a revocation, however late they come', () => {
+  it('never admits an attempt after its revocation', () => {
     expect(attempts.revoke('a')).toEqual({ state: 'revoked' });
     expect(attempts.admit('a')).toBe('revoked');
   });
 
-  it('can no longer be revoked once admitted, and tell where they stand', () => {
+  it('does not revoke an admitted attempt, and returns its state', () => {
     attempts.admit('a');
     expect(attempts.revoke('a')).toEqual({ state: 'running' });
-    attempts.settle('a', ANSWER);
-    expect(attempts.revoke('a')).toEqual({ state: 'answered', answer: ANSWER });
+    attempts.complete('a', RESPONSE);
+    expect(attempts.revoke('a')).toEqual({ state: 'answered', answer: RESPONSE });
   });
 
-  it('count as not run when the target provably did not get them', () => {
+  it('revokes an admitted attempt that did not reach the target', () => {
     attempts.admit('a');
-    attempts.withdraw('a');
+    attempts.markNotRun('a');
     expect(attempts.revoke('a')).toEqual({ state: 'revoked' });
     expect(attempts.admit('a')).toBe('revoked');
   });
 
-  it('forget old answers before they forget that they ran', () => {
-    const large = { ...ANSWER, body: 'x'.repeat(1024 * 1024) };
+  it('evicts the oldest responses first, and still reports these attempts as sent', () => {
+    const large = { ...RESPONSE, body: 'x'.repeat(1024 * 1024) };
     for (const attempt of ['a', 'b', 'c', 'd', 'e']) {
       attempts.admit(attempt);
-      attempts.settle(attempt, large);
+      attempts.complete(attempt, large);
     }
     expect(attempts.revoke('a')).toEqual({ state: 'unknown' });
     expect(attempts.revoke('e')).toMatchObject({ state: 'answered' });
--- a/src/sidecar/tests/gateway.test.ts
+++ b/src/sidecar/tests/gateway.test.ts
@@ -3,27 +3,28 @@
 import { LifeCycle, Metrics, SystemClock, createSilentLogger, formatAddress } from '../../core';
 import { findFreeAddresses } from '../../local';
 import { HttpListener } from '../../protocol';
-import { Gateway } from '../gateway';
+import { TargetProxy } from '../gateway';
 import { TargetClient } from '../target-client';
 
 const CREDENTIAL = 'process-credential';
 
-describe('the gateway of a sidecar', () => {
+describe('TargetProxy', () => {
   const clock = new SystemClock();
   let lifeCycle: LifeCycle;
   let url: string;
-  let gateway: Gateway;
+  let proxy: TargetProxy;
 
   beforeEach(async () => {
-    const [own, target] = await findFreeAddresses(['127.0.0.1', '127.0.0.1']);
-    if (own === undefined || target === undefined) throw new Error('no free address');
-    url = `http://${formatAddress(own)}`;
+    const [proxyAddress, target] = await findFreeAddresses(['127.0.0.1', '127.0.0.1']);
+    if (proxyAddress === undefined || target === undefined)
+      throw new Error('findFreeAddresses returned fewer than 2 addresses');
+    url = `http://${formatAddress(proxyAddress)}`;
     const client = new TargetClient(target, clock);
-    gateway = new Gateway({
+    proxy = new TargetProxy({
       client,
       incarnation: 'second',
       credential: CREDENTIAL,
-      callsAtOnce: 2,
+      maxConcurrentCalls: 2,
       logger: createSilentLogger(),
       metrics: new Metrics(),
       load: () => ({ running: 0, waiting: 0 }),
@@ -37,9 +38,9 @@
     lifeCycle.add(
       'listener',
       new HttpListener({
-        address: own,
+        address: proxyAddress,
         handle: (incoming, response) => {
-          gateway.handle(incoming, response);
+          proxy.handle(incoming, response);
         },
       }),
     );
@@ -51,46 +52,46 @@
   });
 
   async function send(path: string, headers: Readonly<Record<string, string>>) {
-    const answer = await request(`${url}${path}`, {
+    const response = await request(`${url}${path}`, {
       method: 'POST',
       headers: { 'martenbay-credential': CREDENTIAL, ...headers },
       body: 'x',
     });
-    const body = (await answer.body.json()) as Readonly<Record<string, unknown>>;
-    return { status: answer.statusCode, outcome: answer.headers['martenbay-outcome'], body };
+    const body = (await response.body.json()) as Readonly<Record<string, unknown>>;
+    return { status: response.statusCode, outcome: response.headers['martenbay-outcome'], body };
   }
 
   function call(attempt: string, claim = 'second') {
     return send('/target/fees', { 'martenbay-attempt': attempt, 'martenbay-claim': claim });
   }
 
-  function settle(attempt: string, claim = 'second') {
+  function revoke(attempt: string, claim = 'second') {
     return send(`/attempts/${attempt}`, { 'martenbay-claim': claim });
   }
 
-  it('refuses whoever does not show the credential', async () => {
+  it('refuses a call without the process credential as not run', async () => {
     const refused = await send('/target/fees', { 'martenbay-credential': 'guess' });
     expect(refused).toMatchObject({ status: 401, outcome: 'not-run' });
   });
 
-  it('runs an attempt once, and does not say of a second one that it did not run', async () => {
+  it('runs an attempt once, and reports the outcome of a duplicate as unknown', async () => {
     expect(await call('a')).toMatchObject({ status: 200, body: { execution: 1 } });
     expect(await call('a')).toMatchObject({ status: 503, outcome: 'unknown' });
-    expect(await settle('a')).toMatchObject({ body: { state: 'answered' } });
+    expect(await revoke('a')).toMatchObject({ body: { state: 'answered' } });
   });
 
-  it('never runs an attempt that was revoked', async () => {
-    expect(await settle('a')).toMatchObject({ body: { state: 'revoked' } });
+  it('refuses a revoked attempt as not run', async () => {
+    expect(await revoke('a')).toMatchObject({ body: { state: 'revoked' } });
     expect(await call('a')).toMatchObject({ status: 503, outcome: 'not-run' });
   });
 
-  it('refuses a claim at an earlier incarnation, and knows nothing of its attempts', async () => {
+  it('refuses a claim at another incarnation, and reports its attempts as unknown', async () => {
     expect(await call('a', 'first')).toMatchObject({ status: 503, outcome: 'not-run' });
-    expect(await settle('b', 'first')).toMatchObject({ body: { state: 'unknown' } });
+    expect(await revoke('b', 'first')).toMatchObject({ body: { state: 'unknown' } });
   });
 
-  it('refuses calls once it drains', async () => {
-    await gateway.drain();
+  it('refuses calls after drain', async () => {
+    await proxy.drain();
     expect(await call('a')).toMatchObject({ status: 503, outcome: 'not-run' });
   });
 });
--- a/src/sidecar/tests/load.test.ts
+++ b/src/sidecar/tests/load.test.ts
@@ -5,7 +5,7 @@
 const address = { host: '127.0.0.1', port: 7000 };
 const target = { availabilityZone: 'zone-a', sidecar: address, address };
 
-describe('the load of a target', () => {
+describe('isEngine', () => {
   const configuration = parseConfiguration(
     localFiles({
       engines: [{ ...target, name: 'engine-a' }],
@@ -13,7 +13,7 @@
     }),
   );
 
-  it('is asked of engines only: a plain service gets no request that no caller made', () => {
+  it('is true only for targets of engine services, the only ones that are polled for load', () => {
     expect(isEngine(configuration, 'engine-a')).toBe(true);
     expect(isEngine(configuration, 'check-in-a')).toBe(false);
     expect(isEngine(configuration, 'elsewhere')).toBe(false);
--- a/src/sidecar/tests/orders.test.ts
+++ b/src/sidecar/tests/orders.test.ts
@@ -5,7 +5,7 @@
 
 const ORDER: Order = { id: '1', target: 'engine-a', kind: 'release-cache', program: 'p-1' };
 
-describe('orders to a target', () => {
+describe('OrderRunner', () => {
   let sent: unknown[];
   let confirmed: string[];
 
@@ -14,9 +14,9 @@
     confirmed = [];
   });
 
-  function createRunner(learnTerm: () => Promise<number>): OrderRunner {
-    const client: Pick<TargetClient, 'json'> = {
-      json: (_method, _path, body) => {
+  function createRunner(fetchHighestTerm: () => Promise<number>): OrderRunner {
+    const client: Pick<TargetClient, 'requestJson'> = {
+      requestJson: (_method, _path, body) => {
         sent.push(body);
         return Promise.resolve({});
       },
@@ -24,7 +24,7 @@
     return new OrderRunner({
       client: client as TargetClient,
       logger: createSilentLogger(),
-      learnTerm,
+      fetchHighestTerm,
       confirm: (orders) => {
         confirmed.push(...orders);
         return Promise.resolve();
@@ -32,29 +32,29 @@
     });
   }
 
-  it('carry the fencing number of their leader, and are confirmed', async () => {
+  it('sends the term of the leader as fencing token, and confirms the order', async () => {
     const runner = createRunner(() => Promise.resolve(3));
     expect(await runner.run([ORDER], 3)).toBe(true);
     expect(sent).toMatchObject([{ kind: 'release-cache', fence: 3 }]);
     expect(confirmed).toEqual(['1']);
   });
 
-  it('of a leader that was replaced while the sidecar was down are refused', async () => {
+  it('rejects orders of a leader that was replaced while the sidecar was down', async () => {
     const runner = createRunner(() => Promise.resolve(5));
     expect(await runner.run([ORDER], 4)).toBe(false);
     expect(sent).toEqual([]);
   });
 
-  it('of an older term than one seen are refused', async () => {
+  it('rejects orders of a lower term than the last one executed', async () => {
     const runner = createRunner(() => Promise.resolve(1));
     await runner.run([ORDER], 7);
     expect(await runner.run([ORDER], 6)).toBe(false);
     expect(sent).toHaveLength(1);
   });
 
-  it('wait as long as no quorum tells the term, and are carried out afterwards', async () => {
-    const answers = [() => Promise.reject(new Error('cut off')), () => Promise.resolve(2)];
-    const runner = createRunner(() => (answers.shift() ?? (() => Promise.resolve(2)))());
+  it('executes no order until a quorum has returned the term', async () => {
+    const responses = [() => Promise.reject(new Error('no quorum')), () => Promise.resolve(2)];
+    const runner = createRunner(() => (responses.shift() ?? (() => Promise.resolve(2)))());
     expect(await runner.run([ORDER], 2)).toBe(false);
     expect(sent).toEqual([]);
     expect(await runner.run([ORDER], 2)).toBe(true);
