--- a/src/sidecar/process.ts
+++ b/src/sidecar/process.ts
@@ -60,10 +60,10 @@
     client: targetClient,
     logger,
     fetchHighestTerm: async () => {
-      const responses = await controlClient.askMajority((connection, signal) =>
+      const replies = await controlClient.askMajority((connection, signal) =>
         connection.groups.knownTerm.query(undefined, { signal }),
       );
-      return Math.max(...responses.map((response) => response.term));
+      return Math.max(...replies.map((reply) => reply.term));
     },
     confirm: async (completed) => {
       await controlClient.call((connection, signal) =>
--- a/src/sidecar/tests/gateway.test.ts
+++ b/src/sidecar/tests/gateway.test.ts
@@ -52,13 +52,13 @@
   });
 
   async function send(path: string, headers: Readonly<Record<string, string>>) {
-    const response = await request(`${url}${path}`, {
+    const reply = await request(`${url}${path}`, {
       method: 'POST',
       headers: { 'martenbay-credential': CREDENTIAL, ...headers },
       body: 'x',
     });
-    const body = (await response.body.json()) as Readonly<Record<string, unknown>>;
-    return { status: response.statusCode, outcome: response.headers['martenbay-outcome'], body };
+    const body = (await reply.body.json()) as Readonly<Record<string, unknown>>;
+    return { status: reply.statusCode, outcome: reply.headers['martenbay-outcome'], body };
   }
 
   function call(attempt: string, claim = 'second') {
