--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,3 +1,3 @@
 export { type Cause, type CauseTable, countCauses } from './causes';
-export { type LogLine, type LogReading, readLog } from './log-line';
-export { type Story, tellStory } from './story';
+export { type LogLine, type ParsedLog, readLog } from './log-line';
+export { type LogTrace, buildTrace } from './story';
--- a/src/explain/log-line.ts
+++ b/src/explain/log-line.ts
@@ -9,15 +9,15 @@
 });
 
 const lineSchema = z.looseObject({
-  /** The host's own time of day. */
+  /** ISO 8601, on the host's clock. */
   time: z.string(),
   host: z.string(),
   event: z.string(),
   request: z.string().optional(),
   program: z.string().optional(),
-  /** Team of the caller; programs of two teams may have one name. */
+  /** Team of the caller; program ids are unique only within a team. */
   team: z.string().optional(),
-  /** Request whose turn this one continues. */
+  /** Id of the request whose turn this one continues. */
   previous: z.string().optional(),
   kind: z.string().optional(),
   outcome: z.string().optional(),
@@ -25,27 +25,26 @@
   code: z.string().optional(),
   reason: z.string().optional(),
   milliseconds: z.number().optional(),
-  /** Time from the arrival to the first byte of the answer. */
+  /** Time from the arrival of the request to the first byte of the response. */
   beganMilliseconds: z.number().optional(),
-  /** Time that the whole program had left when the request arrived. */
+  /** Time remaining until the program's deadline when the request arrived. */
   programMilliseconds: z.number().optional(),
   decisions: z.array(decisionSchema).optional(),
-  /** Lines of the same event that this one stands for, in a story. */
+  /** Number of lines of this event that a trace shows as one line. */
   repeated: z.number().optional(),
 });
 
-/** One line that a process wrote. */
 export type LogLine = Readonly<z.output<typeof lineSchema>>;
 
-/** Lines of one or more processes, each process's in the order in which it wrote them. */
-export interface LogReading {
+/** Log lines of one or more processes, those of each process in the order written. */
+export interface ParsedLog {
   readonly lines: readonly LogLine[];
-  /** Lines that are no log lines of a process. */
+  /** Number of lines that are not valid log lines. */
   readonly skipped: number;
 }
 
-/** Reads log lines; what stands before the brace that opens a line, such as a time, is ignored. */
-export function readLog(text: string): LogReading {
+/** Parses log lines; ignores a prefix before the first brace, such as a timestamp. */
+export function readLog(text: string): ParsedLog {
   const lines: LogLine[] = [];
   let skipped = 0;
   for (const row of text.split('\n')) {
@@ -64,7 +63,7 @@
     const parsed = lineSchema.safeParse(JSON.parse(row.slice(start)));
     return parsed.success ? parsed.data : undefined;
   } catch {
-    // A line that was cut off when its process ended is no JSON; the caller counts it.
+    // Truncated line, for example of a process that was killed.
     return undefined;
   }
 }
--- a/src/explain/order.ts
+++ b/src/explain/order.ts
@@ -1,36 +1,41 @@
 import type { LogLine } from './log-line';
 
 /**
- * Orders lines so that each process's own order holds and a turn stands behind the one that it
- * continues; hosts' clocks decide only between lines that nothing else orders.
+ * Topological sort: keeps the order of each process's lines and puts a turn after the turn that it
+ * continues. Timestamps, which come from the clocks of different hosts, order only unrelated lines.
  */
-export function orderByCause(lines: readonly LogLine[]): readonly LogLine[] {
-  const waits = lines.map((_, index) => new Set(causesOf(lines, index)));
-  const left = new Set(lines.keys());
+export function sortCausally(lines: readonly LogLine[]): readonly LogLine[] {
+  const predecessors = lines.map((_, index) => new Set(predecessorsOf(lines, index)));
+  const remaining = new Set(lines.keys());
   const ordered: LogLine[] = [];
-  while (left.size > 0) {
-    const next = earliest(lines, free(left, waits)) ?? earliest(lines, [...left]);
+  while (remaining.size > 0) {
+    const next =
+      earliest(lines, withoutPredecessors(remaining, predecessors)) ??
+      earliest(lines, [...remaining]);
     if (next === undefined) break;
-    left.delete(next);
-    for (const wait of waits) wait.delete(next);
+    remaining.delete(next);
+    for (const indexes of predecessors) indexes.delete(next);
     const line = lines[next];
     if (line !== undefined) ordered.push(line);
   }
   return ordered;
 }
 
-/** Lines that must stand before one: the one before it in its process, and the turn it continues. */
-function causesOf(lines: readonly LogLine[], index: number): readonly number[] {
+/** Indexes of the previous line of the same host and of the turn that this line continues. */
+function predecessorsOf(lines: readonly LogLine[], index: number): readonly number[] {
   const line = lines[index];
-  const before = lines.slice(0, index).findLastIndex(({ host }) => host === line?.host);
+  const previousOfHost = lines.slice(0, index).findLastIndex(({ host }) => host === line?.host);
   const continued = lines.findIndex(
     ({ request }) => request !== undefined && request === line?.previous,
   );
-  return [before, continued].filter((cause) => cause >= 0 && cause !== index);
+  return [previousOfHost, continued].filter((found) => found >= 0 && found !== index);
 }
 
-function free(left: ReadonlySet<number>, waits: readonly ReadonlySet<number>[]): number[] {
-  return [...left].filter((index) => waits[index]?.size === 0);
+function withoutPredecessors(
+  remaining: ReadonlySet<number>,
+  predecessors: readonly ReadonlySet<number>[],
+): number[] {
+  return [...remaining].filter((index) => predecessors[index]?.size === 0);
 }
 
 function earliest(lines: readonly LogLine[], candidates: readonly number[]): number | undefined {
--- a/src/explain/story.ts
+++ b/src/explain/story.ts
@@ -1,35 +1,37 @@
 import type { LogLine } from './log-line';
-import { orderByCause } from './order';
+import { sortCausally } from './order';
 
-/** Time around a request in which its process's beliefs are shown with it; milliseconds. */
-const AROUND_MILLISECONDS = 2000;
+/** Events of the process from this long before the arrival of a request are part of its trace. */
+const CONTEXT_MILLISECONDS = 2000;
 
-/** Events that say something of single requests, not of what a process believes. */
+/** Events about single requests; all others are about the state of the process. */
 const REQUEST_EVENTS = new Set(['request', 'request-failed']);
 
-/** What the logs say of one request or program. */
-export interface Story {
+/** Log lines about one request or program, in causal order. */
+export interface LogTrace {
   readonly kind: 'request' | 'program' | 'unknown';
   readonly lines: readonly LogLine[];
 }
 
 /**
- * Lines about a request, with what its process came to believe while it ran, or about a program,
- * in the order of cause.
+ * Collects the lines about a request, together with the events of its process around that time, or
+ * the lines about a program. The kind is `unknown` if no line has the id.
  */
-export function tellStory(lines: readonly LogLine[], id: string): Story {
-  const own = lines.filter(({ request }) => request === id);
-  if (own.length > 0) {
-    const beliefs = own.flatMap((line) => foldRepeats(beliefsAround(lines, line)));
-    return { kind: 'request', lines: orderByCause([...beliefs, ...own]) };
+export function buildTrace(lines: readonly LogLine[], id: string): LogTrace {
+  const requestLines = lines.filter(({ request }) => request === id);
+  if (requestLines.length > 0) {
+    const processEvents = requestLines.flatMap((line) =>
+      collapseRepeats(processEventsAround(lines, line)),
+    );
+    return { kind: 'request', lines: sortCausally([...processEvents, ...requestLines]) };
   }
-  const ofProgram = lines.filter(({ program }) => program === id);
-  const kind = ofProgram.length > 0 ? 'program' : 'unknown';
-  return { kind, lines: orderByCause(ofProgram) };
+  const programLines = lines.filter(({ program }) => program === id);
+  const kind = programLines.length > 0 ? 'program' : 'unknown';
+  return { kind, lines: sortCausally(programLines) };
 }
 
-/** Keeps the first line of each event, with the number of lines that it stands for. */
-function foldRepeats(lines: readonly LogLine[]): readonly LogLine[] {
+/** Keeps the first line of each event and counts the others in its `repeated`. */
+function collapseRepeats(lines: readonly LogLine[]): readonly LogLine[] {
   const folded = new Map<string, LogLine>();
   for (const line of lines) {
     const first = folded.get(line.event);
@@ -39,10 +41,10 @@
   return [...folded.values()];
 }
 
-/** A line is written at the end of its request, on the clock of the same host as the beliefs. */
-function beliefsAround(lines: readonly LogLine[], about: LogLine): readonly LogLine[] {
+/** Both times are on the same host's clock; the line of a request is written at its end. */
+function processEventsAround(lines: readonly LogLine[], about: LogLine): readonly LogLine[] {
   const end = Date.parse(about.time);
-  const start = end - (about.milliseconds ?? 0) - AROUND_MILLISECONDS;
+  const start = end - (about.milliseconds ?? 0) - CONTEXT_MILLISECONDS;
   return lines.filter(({ host, event, time }) => {
     const at = Date.parse(time);
     return host === about.host && !REQUEST_EVENTS.has(event) && at >= start && at <= end;
--- a/src/explain/tests/explain.test.ts
+++ b/src/explain/tests/explain.test.ts
@@ -1,6 +1,6 @@
-import { countCauses, readLog, tellStory } from '..';
+import { buildTrace, countCauses, readLog } from '..';
 
-/** One line of a process as its standard output holds it; `at` in milliseconds. */
+/** A log line; `at` is an offset in milliseconds. */
 function line(host: string, at: number, fields: object): string {
   const time = new Date(1_700_000_000_000 + at).toISOString();
   return JSON.stringify({ level: 'info', time, host, ...fields });
@@ -17,16 +17,16 @@
   });
 }
 
-describe('reading logs', () => {
-  it('takes lines with something before them, and counts what is none', () => {
+describe('readLog', () => {
+  it('ignores a prefix before a line, and counts lines that are no JSON', () => {
     const { lines, skipped } = readLog(`12.5 g1 ${request('g1', 0, 'r1')}\nnoise\n{"cut\n\n`);
     expect(lines.map((entry) => entry.request)).toEqual(['r1']);
     expect(skipped).toBe(2);
   });
 });
 
-describe('the story of a program', () => {
-  it('follows what continues what, though a clock is five seconds behind', () => {
+describe('buildTrace for a program', () => {
+  it('puts each turn after the one it continues although the clock of one host is behind', () => {
     const { lines } = readLog(
       [
         request('g2', -4000, 'r2', { previous: 'r1' }),
@@ -35,18 +35,18 @@
         request('g1', 2000, 'r3', { previous: 'r2' }),
       ].join('\n'),
     );
-    const story = tellStory(lines, 'p');
-    expect(story.kind).toBe('program');
-    expect(story.lines.map((entry) => entry.request)).toEqual(['r1', 'r2', 'r3', 'r4']);
+    const trace = buildTrace(lines, 'p');
+    expect(trace.kind).toBe('program');
+    expect(trace.lines.map((entry) => entry.request)).toEqual(['r1', 'r2', 'r3', 'r4']);
   });
 
-  it('is empty for an id that no line names', () => {
-    expect(tellStory([], 'nobody')).toEqual({ kind: 'unknown', lines: [] });
+  it('is empty for an id that no line has', () => {
+    expect(buildTrace([], 'nobody')).toEqual({ kind: 'unknown', lines: [] });
   });
 });
 
-describe('the story of a request', () => {
-  it('has what its process came to believe meanwhile, and nobody else', () => {
+describe('buildTrace for a request', () => {
+  it('includes recent events of the same host with repeats collapsed, and no events of other hosts', () => {
     const { lines } = readLog(
       [
         line('g1', -9000, { event: 'peer-lost' }),
@@ -59,9 +59,9 @@
         line('g1', 6000, { event: 'stores-reached' }),
       ].join('\n'),
     );
-    const { kind, lines: told } = tellStory(lines, 'r1');
+    const { kind, lines: traced } = buildTrace(lines, 'r1');
     expect(kind).toBe('request');
-    expect(told.map(({ event, repeated }) => [event, repeated])).toEqual([
+    expect(traced.map(({ event, repeated }) => [event, repeated])).toEqual([
       ['quorum-missed', 2],
       ['stores-out-of-reach', undefined],
       ['request', undefined],
@@ -69,19 +69,19 @@
   });
 });
 
-describe('the causes for which programs did not end in time', () => {
+describe('countCauses', () => {
   const causesOf = (...rows: readonly string[]) => countCauses(readLog(rows.join('\n')).lines);
 
-  it('leave out programs that ended, or whose budget was spent', () => {
-    const spent = { outcome: 'refused', status: 402, code: 'budget_spent' };
+  it('omits programs that completed or whose budget was exhausted', () => {
+    const exhausted = { outcome: 'refused', status: 402, code: 'budget_spent' };
     const table = causesOf(
       request('g1', 0, 'r1'),
-      request('g1', 1, 'r2', { ...spent, program: 'q' }),
+      request('g1', 1, 'r2', { ...exhausted, program: 'q' }),
     );
     expect(table).toEqual({ programs: 2, causes: [], windows: [] });
   });
 
-  it('name the last refusal, not one that was made good', () => {
+  it('reports a refusal of the last request, and no earlier one', () => {
     const refused = { outcome: 'refused', status: 503, code: 'turns_unavailable' };
     const table = causesOf(
       request('g1', 0, 'r1', refused),
@@ -92,22 +92,22 @@
     expect(table.causes).toEqual([cause]);
   });
 
-  it('name the phase that took most of a late program', () => {
+  it('reports the phase that took most of the time of a late program', () => {
     const late = { milliseconds: 3000, beganMilliseconds: 2800, programMilliseconds: 1000 };
     const table = causesOf(
       request('g1', 0, 'r1', { ...late, decisions: [{ step: 'prepare', milliseconds: 10 }] }),
     );
-    const cause = { cause: 'late: wait for the first event', programs: 1, share: 0.7 };
+    const cause = { cause: 'late: time to first event', programs: 1, share: 0.7 };
     expect(table.causes).toEqual([cause]);
   });
 
-  it('are told by the time at which the programs began, and by what was lost of the worth', () => {
+  it('groups causes by start time of the program and weights them by its time limit', () => {
     const late = { milliseconds: 3000, beganMilliseconds: 2800 };
     const table = causesOf(
       request('g1', 100, 'r1', { programMilliseconds: 3000 }),
       request('g1', 8000, 'r2', { ...late, program: 'q', programMilliseconds: 1000 }),
     );
-    const causes = [{ cause: 'late: wait for the first event', programs: 1, share: 0.175 }];
+    const causes = [{ cause: 'late: time to first event', programs: 1, share: 0.175 }];
     expect(table).toEqual({ programs: 2, causes, windows: [{ from: 4, programs: 1, causes }] });
   });
 });
--- a/src/operator/apply.ts
+++ b/src/operator/apply.ts
@@ -7,9 +7,9 @@
 } from '../configuration';
 import { delay, SystemClock } from '../core';
 import type { ControlClient } from '../protocol';
-import { OPERATOR_EXIT, type OperatorExit } from './exit';
+import { OPERATOR_EXIT_CODES, type OperatorExitCode } from './exit';
 import { type OutputFormat, type Rows, writeOutput } from './output';
-import { withControl } from './session';
+import { withControlClient } from './session';
 
 export interface CommandOptions {
   readonly settings: string;
@@ -18,7 +18,7 @@
 
 export interface ApplyOptions extends CommandOptions {
   readonly wait: boolean;
-  /** How long to wait for every live process; seconds. */
+  /** Maximum time to wait for every live process, in seconds. */
   readonly timeout: number;
 }
 
@@ -31,36 +31,36 @@
 }
 
 /** `martenbay validate DIRECTORY` */
-export function validate(directory: string, output: OutputFormat): OperatorExit {
+export function validate(directory: string, output: OutputFormat): OperatorExitCode {
   const files = safeReadDirectory(directory);
   const result = files.andThen(safeParseConfiguration);
   if (result.err) {
     const { issues } = result.val;
     const rows = result.val.message.split('\n').map((line) => [line]);
     writeOutput(output, { valid: false, issues }, [rows]);
-    return OPERATOR_EXIT.invalid;
+    return OPERATOR_EXIT_CODES.invalid;
   }
   const { number, digest, services, pools } = result.val;
   const targets = pools.flatMap((pool) => pool.targets).length;
   const text = `${directory}: valid; number ${number}, ${services.length} services, ${targets} targets`;
   writeOutput(output, { valid: true, number, digest }, [[[text]]]);
-  return OPERATOR_EXIT.done;
+  return OPERATOR_EXIT_CODES.done;
 }
 
 /** `martenbay diff DIRECTORY` */
-export async function diff(directory: string, options: CommandOptions): Promise<OperatorExit> {
+export async function diff(directory: string, options: CommandOptions): Promise<OperatorExitCode> {
   const { configuration } = readDirectory(directory);
-  const current = await withControl(options.settings, (client) =>
+  const current = await withControlClient(options.settings, (client) =>
     client.call((connection, signal) => connection.configuration.get.query(undefined, { signal })),
   );
-  const inForce =
+  const active =
     current.configuration === undefined
       ? undefined
       : parseConfiguration(current.configuration.files);
-  const changes = diffConfigurations(inForce, configuration);
-  const summary = { inForce: inForce?.number ?? 0, number: configuration.number, changes };
+  const changes = diffConfigurations(active, configuration);
+  const summary = { inForce: active?.number ?? 0, number: configuration.number, changes };
   writeOutput(options.output, summary, [changeRows(changes)]);
-  return changes.length === 0 ? OPERATOR_EXIT.done : OPERATOR_EXIT.different;
+  return changes.length === 0 ? OPERATOR_EXIT_CODES.done : OPERATOR_EXIT_CODES.different;
 }
 
 function changeRows(changes: readonly Change[]): Rows {
@@ -70,28 +70,29 @@
 }
 
 /** `martenbay apply DIRECTORY` */
-export async function apply(directory: string, options: ApplyOptions): Promise<OperatorExit> {
+export async function apply(directory: string, options: ApplyOptions): Promise<OperatorExitCode> {
   const { files, configuration } = readDirectory(directory);
   const { number, digest } = configuration;
-  return withControl(options.settings, async (client) => {
+  return withControlClient(options.settings, async (client) => {
     const outcome = await client.call((connection, signal) =>
       connection.configuration.accept.mutate({ number, digest, files: [...files] }, { signal }),
     );
     if (outcome.outcome === 'not-accepted') {
-      const inForce = [`in force: number ${outcome.number}, digest ${outcome.digest}`];
-      writeOutput(options.output, outcome, [[[outcome.message], inForce]]);
-      return OPERATOR_EXIT.refused;
+      const active = [`in force: number ${outcome.number}, digest ${outcome.digest}`];
+      writeOutput(options.output, outcome, [[[outcome.message], active]]);
+      return OPERATOR_EXIT_CODES.refused;
     }
-    const lagging = options.wait ? await waitForAll(client, number, options.timeout) : [];
-    const text = `accepted: number ${number}, digest ${digest}`;
-    const missing = lagging.length === 0 ? [] : [[`not yet in force at: ${lagging.join(', ')}`]];
-    writeOutput(options.output, { ...outcome, lagging }, [[[text], ...missing]]);
-    return lagging.length === 0 ? OPERATOR_EXIT.done : OPERATOR_EXIT.lagging;
+    const lagging = options.wait ? await waitUntilActive(client, number, options.timeout) : [];
+    const accepted = `accepted: number ${number}, digest ${digest}`;
+    const laggingRows =
+      lagging.length === 0 ? [] : [[`not yet in force at: ${lagging.join(', ')}`]];
+    writeOutput(options.output, { ...outcome, lagging }, [[[accepted], ...laggingRows]]);
+    return lagging.length === 0 ? OPERATOR_EXIT_CODES.done : OPERATOR_EXIT_CODES.lagging;
   });
 }
 
-/** Waits until every live process has a number in force; returns those that have not in time. */
-async function waitForAll(
+/** Waits until a configuration is active everywhere; returns the live processes that still lag. */
+async function waitUntilActive(
   client: ControlClient,
   number: number,
   timeoutSeconds: number,
@@ -105,8 +106,8 @@
     const lagging = status.nodes
       .filter((node) => node.state !== 'lost' && node.configurationNumber < number)
       .map((node) => node.name);
-    const known = status.nodesComplete && lagging.length === 0;
-    if (known || clock.monotonic() >= deadline) return lagging;
+    const finished = status.nodesComplete && lagging.length === 0;
+    if (finished || clock.monotonic() >= deadline) return lagging;
     await delay(clock, POLL_MILLISECONDS);
   }
 }
--- a/src/operator/command.ts
+++ b/src/operator/command.ts
@@ -5,13 +5,13 @@
 import { loadSettings } from '../settings';
 import { digestKey } from '../teams';
 import { type ApplyOptions, type CommandOptions, apply, diff, validate } from './apply';
-import { OPERATOR_EXIT, type OperatorExit } from './exit';
+import { OPERATOR_EXIT_CODES, type OperatorExitCode } from './exit';
 import { explain } from './explain';
 import { operatorSettingsSchema } from './session';
 import { SECTIONS, type Section, get, status } from './read';
 
 const outputOption = () =>
-  new Option('--output <format>', 'how to print').choices(['table', 'json']).default('table');
+  new Option('--output <format>', 'output format').choices(['table', 'json']).default('table');
 
 const settingsOption = () =>
   new Option('--settings <file>', 'TOML file that names the control hosts and the credential')
@@ -20,27 +20,28 @@
 
 const EXIT_HELP = `
 Exit codes: 0 done; 1 failed; 2 invalid command line or files; 3 refused, the number is taken or
-too low; 4 no control host answered; 5 in force, but not yet everywhere; 6 differences found.`;
+too low; 4 no control host responded; 5 accepted, but not yet active in every process; 6 differences
+found.`;
 
-/** Builds the operators' command line; `finish` gets the exit code of the command that ran. */
-function buildCommand(finish: (code: OperatorExit) => void): Command {
+/** Builds the `martenbay` command; `finish` receives the exit code of the subcommand. */
+function buildCommand(finish: (code: OperatorExitCode) => void): Command {
   const program = new Command('martenbay')
-    .description('Applies directories of declarative files, and reads back what is in force.')
+    .description('Applies directories of configuration files and shows the active configuration.')
     .version(VERSION)
     .addHelpText('after', EXIT_HELP)
     .exitOverride((error) => {
-      process.exit(error.exitCode === 0 ? OPERATOR_EXIT.done : OPERATOR_EXIT.invalid);
+      process.exit(error.exitCode === 0 ? OPERATOR_EXIT_CODES.done : OPERATOR_EXIT_CODES.invalid);
     });
   program
     .command('validate <directory>')
-    .description('check the files of a directory; needs no control host')
+    .description('check the files of a directory without contacting a control host')
     .addOption(outputOption())
     .action((directory: string, options: Pick<CommandOptions, 'output'>) => {
       finish(validate(directory, options.output));
     });
   program
     .command('diff <directory>')
-    .description('compare a directory with what is in force')
+    .description('compare a directory with the active configuration')
     .addOption(settingsOption())
     .addOption(outputOption())
     .action(async (directory: string, options: CommandOptions) => {
@@ -48,18 +49,18 @@
     });
   program
     .command('apply <directory>')
-    .description('put a directory in force as a whole')
+    .description('activate a directory of files atomically')
     .addOption(settingsOption())
     .addOption(outputOption())
-    .option('--wait', 'return once every live process has it in force', false)
-    .option('--timeout <seconds>', 'longest wait', Number, 10)
+    .option('--wait', 'wait until it is active in every live process', false)
+    .option('--timeout <seconds>', 'maximum time to wait', Number, 10)
     .action(async (directory: string, options: ApplyOptions) => {
       finish(await apply(directory, options));
     });
   program
     .command('get')
     .addArgument(new Command().createArgument('<section>').choices(SECTIONS))
-    .description('show a section of what is in force')
+    .description('show a section of the active configuration')
     .addOption(settingsOption())
     .addOption(outputOption())
     .action(async (section: Section, options: CommandOptions) => {
@@ -67,7 +68,9 @@
     });
   program
     .command('status')
-    .description('show processes, targets, programs and what lags')
+    .description(
+      'show processes, targets, programs and which processes lack the active configuration',
+    )
     .addOption(settingsOption())
     .addOption(outputOption())
     .action(async (options: CommandOptions) => {
@@ -80,11 +83,11 @@
     .action((options: Pick<CommandOptions, 'settings'>) => {
       loadSettings(operatorSettingsSchema, options.settings);
       process.stdout.write(`${options.settings}: valid\n`);
-      finish(OPERATOR_EXIT.done);
+      finish(OPERATOR_EXIT_CODES.done);
     });
   program
     .command('explain <id> <files...>')
-    .description('show what logs of processes say of one request or program, in order of cause')
+    .description('show the log lines about one request or program, in causal order')
     .addOption(outputOption())
     .action((id: string, files: readonly string[], options: Pick<CommandOptions, 'output'>) => {
       finish(explain(id, files, options.output));
@@ -98,15 +101,15 @@
   return program;
 }
 
-async function printKeyDigest(): Promise<OperatorExit> {
+async function printKeyDigest(): Promise<OperatorExitCode> {
   const chunks: Buffer[] = [];
   for await (const chunk of process.stdin as AsyncIterable<Buffer>) chunks.push(chunk);
   const key = Buffer.concat(chunks).toString().trim();
   process.stdout.write(`${digestKey(key)}\n`);
-  return OPERATOR_EXIT.done;
+  return OPERATOR_EXIT_CODES.done;
 }
 
-/** Runs the operators' command line and sets the exit code. */
+/** Runs the `martenbay` command and sets the exit code of the process. */
 export async function runOperatorCommand(): Promise<void> {
   try {
     await buildCommand((code) => {
@@ -118,9 +121,9 @@
   }
 }
 
-function exitCodeOf(error: unknown): OperatorExit {
+function exitCodeOf(error: unknown): OperatorExitCode {
   if (error instanceof ControlUnavailableError) {
-    return error.unauthorized ? OPERATOR_EXIT.refused : OPERATOR_EXIT.unavailable;
+    return error.unauthorized ? OPERATOR_EXIT_CODES.refused : OPERATOR_EXIT_CODES.unavailable;
   }
-  return error instanceof MartenbayError ? OPERATOR_EXIT.invalid : OPERATOR_EXIT.failed;
+  return error instanceof MartenbayError ? OPERATOR_EXIT_CODES.invalid : OPERATOR_EXIT_CODES.failed;
 }
--- a/src/operator/exit.ts
+++ b/src/operator/exit.ts
@@ -1,18 +1,18 @@
-/** Exit codes of the operators' command line. */
-export const OPERATOR_EXIT = {
+/** Exit codes of the `martenbay` command. */
+export const OPERATOR_EXIT_CODES = {
   done: 0,
-  /** Something unforeseen. */
+  /** Unexpected error. */
   failed: 1,
-  /** The command line or the operators' files are not valid. */
+  /** The command line or the configuration files are not valid. */
   invalid: 2,
-  /** The control hosts refused: the number is taken or too low. */
+  /** The credential was rejected, or the configuration number is taken or too low. */
   refused: 3,
-  /** No control host answered; whether an apply took effect is told by applying it again. */
+  /** No control host responded. An `apply` may have taken effect; repeating it is safe. */
   unavailable: 4,
-  /** In force, but not yet at every live process. */
+  /** Accepted, but not yet active in every live process. */
   lagging: 5,
   /** `diff` found differences. */
   different: 6,
 } as const;
 
-export type OperatorExit = (typeof OPERATOR_EXIT)[keyof typeof OPERATOR_EXIT];
+export type OperatorExitCode = (typeof OPERATOR_EXIT_CODES)[keyof typeof OPERATOR_EXIT_CODES];
--- a/src/operator/explain.ts
+++ b/src/operator/explain.ts
@@ -1,28 +1,32 @@
 import { readFileSync } from 'node:fs';
-import { type LogLine, readLog, tellStory } from '../explain';
+import { type LogLine, buildTrace, readLog } from '../explain';
 import { MartenbayError, messageOf } from '../core';
-import { OPERATOR_EXIT, type OperatorExit } from './exit';
+import { OPERATOR_EXIT_CODES, type OperatorExitCode } from './exit';
 import { type OutputFormat, writeOutput } from './output';
 
-/** Logs can't be read. */
+/** A log file can't be read. */
 export class ExplainError extends MartenbayError {}
 
-/** Fields that every line has, or that have a column of their own. */
-const COLUMNS = new Set(['level', 'time', 'host', 'role', 'event', 'request', 'program']);
+/** Fields that are not repeated in the details column. */
+const OMITTED_FIELDS = new Set(['level', 'time', 'host', 'role', 'event', 'request', 'program']);
 
-/** Prints what the logs in `files` say of a request or program. */
-export function explain(id: string, files: readonly string[], output: OutputFormat): OperatorExit {
+/** Prints the lines of the log files about a request or program. */
+export function explain(
+  id: string,
+  files: readonly string[],
+  output: OutputFormat,
+): OperatorExitCode {
   const lines = files.flatMap((file) => readLog(readFile(file)).lines);
-  const story = tellStory(lines, id);
-  if (story.kind === 'unknown') {
+  const trace = buildTrace(lines, id);
+  if (trace.kind === 'unknown') {
     process.stderr.write(
-      `no line of ${files.join(', ')} names ${id}; give the logs of all hosts\n`,
+      `no line of ${files.join(', ')} has the id ${id}; pass the log files of all hosts\n`,
     );
-    return OPERATOR_EXIT.failed;
+    return OPERATOR_EXIT_CODES.failed;
   }
-  const rows = story.lines.map((line) => [line.time, line.host, titleOf(line), detailsOf(line)]);
-  writeOutput(output, story, [[['time', 'host', 'what', 'details'], ...rows]]);
-  return OPERATOR_EXIT.done;
+  const rows = trace.lines.map((line) => [line.time, line.host, titleOf(line), detailsOf(line)]);
+  writeOutput(output, trace, [[['time', 'host', 'what', 'details'], ...rows]]);
+  return OPERATOR_EXIT_CODES.done;
 }
 
 function titleOf({ event, request }: LogLine): string {
@@ -31,7 +35,7 @@
 
 function detailsOf(line: LogLine): string {
   return Object.entries(line)
-    .filter(([name]) => !COLUMNS.has(name))
+    .filter(([name]) => !OMITTED_FIELDS.has(name))
     .map(([name, value]) => `${name}=${JSON.stringify(value)}`)
     .join(' ');
 }
@@ -40,7 +44,7 @@
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
-    const message = `can't be read; name a file of log lines: ${messageOf(error)}`;
+    const message = `can't be read; expected a log file: ${messageOf(error)}`;
     throw new ExplainError([{ code: 'unreadable', path: [file], message }]);
   }
 }
--- a/src/operator/index.ts
+++ b/src/operator/index.ts
@@ -1,2 +1,2 @@
 export { runOperatorCommand } from './command';
-export { OPERATOR_EXIT, type OperatorExit } from './exit';
+export { OPERATOR_EXIT_CODES, type OperatorExitCode } from './exit';
--- a/src/operator/output.ts
+++ b/src/operator/output.ts
@@ -1,9 +1,9 @@
 export type OutputFormat = 'json' | 'table';
 
-/** A table of texts; the first row heads the columns. */
+/** Rows of cells; the first row sets the number of columns. */
 export type Rows = readonly (readonly string[])[];
 
-/** Renders rows in columns of even width. */
+/** Pads the cells of each column to the same width. */
 export function formatTable(rows: Rows): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => (row[column] ?? '').length)),
@@ -18,7 +18,7 @@
     .join('\n');
 }
 
-/** Writes a value as JSON, or its rows as tables with an empty line between. */
+/** Writes either `value` as JSON or `tables`, separated by empty lines, to standard output. */
 export function writeOutput(format: OutputFormat, value: unknown, tables: readonly Rows[]): void {
   const text =
     format === 'json' ? JSON.stringify(value, null, 2) : tables.map(formatTable).join('\n\n');
--- a/src/operator/read.ts
+++ b/src/operator/read.ts
@@ -1,22 +1,22 @@
 import { type Configuration, parseConfiguration } from '../configuration';
 import type { GroupStatus, Status } from '../protocol';
 import type { CommandOptions } from './apply';
-import { OPERATOR_EXIT, type OperatorExit } from './exit';
+import { OPERATOR_EXIT_CODES, type OperatorExitCode } from './exit';
 import { type Rows, writeOutput } from './output';
-import { withControl } from './session';
+import { withControlClient } from './session';
 
 /** Sections that `martenbay get` shows. */
 export const SECTIONS = ['teams', 'programs', 'services', 'pools', 'budgets', 'files'] as const;
 export type Section = (typeof SECTIONS)[number];
 
-/** `martenbay get SECTION`: what is in force. */
-export async function get(section: Section, options: CommandOptions): Promise<OperatorExit> {
-  const current = await withControl(options.settings, (client) =>
+/** `martenbay get SECTION`: shows a section of the active configuration. */
+export async function get(section: Section, options: CommandOptions): Promise<OperatorExitCode> {
+  const current = await withControlClient(options.settings, (client) =>
     client.call((connection, signal) => connection.configuration.get.query(undefined, { signal })),
   );
   if (current.configuration === undefined) {
-    writeOutput(options.output, { number: 0 }, [[['no configuration was applied yet']]]);
-    return OPERATOR_EXIT.done;
+    writeOutput(options.output, { number: 0 }, [[['no configuration applied yet']]]);
+    return OPERATOR_EXIT_CODES.done;
   }
   const { number, digest, files } = current.configuration;
   const configuration = parseConfiguration(files);
@@ -26,7 +26,7 @@
     head,
     sectionRows(section, configuration, files),
   ]);
-  return OPERATOR_EXIT.done;
+  return OPERATOR_EXIT_CODES.done;
 }
 
 function sectionRows(
@@ -89,13 +89,13 @@
   }
 }
 
-/** `martenbay status`: what runs where. */
-export async function status(options: CommandOptions): Promise<OperatorExit> {
-  const current = await withControl(options.settings, (client) =>
+/** `martenbay status` */
+export async function status(options: CommandOptions): Promise<OperatorExitCode> {
+  const current = await withControlClient(options.settings, (client) =>
     client.call((connection, signal) => connection.status.query(undefined, { signal })),
   );
   writeOutput(options.output, current, statusTables(current));
-  return OPERATOR_EXIT.done;
+  return OPERATOR_EXIT_CODES.done;
 }
 
 function statusTables(current: Status): readonly Rows[] {
@@ -107,7 +107,7 @@
   ];
   const groups = current.groups.map((group) => [
     group.group,
-    group.leader ?? 'none answers',
+    group.leader ?? 'none responds',
     String(group.term),
     String(group.appliedIndex),
     describeMembers(group),
@@ -136,8 +136,8 @@
 
 function describeMembers({ voters, learners, silent }: GroupStatus): string {
   const members = [...voters, ...learners].map((name) => {
-    if (silent.includes(name)) return `${name} (silent)`;
-    return learners.includes(name) ? `${name} (being filled)` : name;
+    if (silent.includes(name)) return `${name} (unresponsive)`;
+    return learners.includes(name) ? `${name} (backfilling)` : name;
   });
   return members.join(', ');
 }
--- a/src/operator/session.ts
+++ b/src/operator/session.ts
@@ -3,10 +3,10 @@
 import { ControlClient } from '../protocol';
 import { loadSettings } from '../settings';
 
-/** Settings of the operators' command line. */
+/** Settings file of the `martenbay` command. */
 export const operatorSettingsSchema = z.strictObject({
   operator: z.strictObject({
-    /** The control hosts, as in the processes' settings. */
+    /** Control hosts, as in `cluster.control` of the process settings. */
     control: z
       .array(z.strictObject({ name: z.string(), address: addressSchema }))
       .min(1)
@@ -15,8 +15,8 @@
   }),
 });
 
-/** Runs something with a connection to the control hosts. */
-export async function withControl<T>(
+/** Runs `operate` with a client of the control hosts that is closed afterwards. */
+export async function withControlClient<T>(
   settingsFile: string,
   operate: (client: ControlClient) => Promise<T>,
 ): Promise<T> {
--- a/src/operator/tests/explain.test.ts
+++ b/src/operator/tests/explain.test.ts
@@ -1,7 +1,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { OPERATOR_EXIT } from '..';
+import { OPERATOR_EXIT_CODES } from '..';
 import { explain } from '../explain';
 
 const LINES = [
@@ -10,7 +10,7 @@
     '"outcome":"refused","status":503,"code":"turns_unavailable","milliseconds":45}',
 ];
 
-describe('the command that explains a request', () => {
+describe('martenbay explain', () => {
   const folder = mkdtempSync(join(tmpdir(), 'martenbay-explain-'));
   const file = join(folder, 'g1.log');
   const printed: string[] = [];
@@ -27,19 +27,19 @@
     rmSync(folder, { recursive: true });
   });
 
-  it('prints what happened, in a table', () => {
-    expect(explain('r1', [file], 'table')).toBe(OPERATOR_EXIT.done);
+  it('prints the lines about a request as a table', () => {
+    expect(explain('r1', [file], 'table')).toBe(OPERATOR_EXIT_CODES.done);
     expect(printed.splice(0).join('')).toMatchSnapshot();
   });
 
-  it('says what to do where no line names the id', () => {
-    expect(explain('r2', [file], 'table')).toBe(OPERATOR_EXIT.failed);
+  it('fails with a message if no line has the id', () => {
+    expect(explain('r2', [file], 'table')).toBe(OPERATOR_EXIT_CODES.failed);
     expect(printed.splice(0).join('').replace(folder, '')).toBe(
-      'no line of /g1.log names r2; give the logs of all hosts\n',
+      'no line of /g1.log has the id r2; pass the log files of all hosts\n',
     );
   });
 
-  it('names a file that is not there', () => {
+  it('throws an error for a missing file', () => {
     expect(() => explain('r1', [join(folder, 'none.log')], 'table')).toThrow("can't be read");
   });
 });
