--- a/src/local/command.ts
+++ b/src/local/command.ts
@@ -21,16 +21,16 @@
 }
 
 const DEFAULT_PORT = 8080;
-const FAILED_EXIT = 1;
-const INVALID_EXIT = 2;
+const FAILED_EXIT_CODE = 1;
+const INVALID_EXIT_CODE = 2;
 
 /** Settings of `martenbay-local run`. */
 const localSettingsSchema = z.strictObject({
   local: z
     .strictObject({
-      /** Port for callers. */
+      /** Port of the entry. */
       port: z.int().positive().max(65_535).default(DEFAULT_PORT),
-      /** Folder of the durable state; without one it ends with the process. */
+      /** Directory of the durable state; if absent, the state is lost on exit. */
       'data-folder': z.string().min(1).optional(),
     })
     .prefault({}),
@@ -43,15 +43,17 @@
   return dataFolder === undefined ? { port } : { port, dataFolder };
 }
 
-/** Runs the command line of `martenbay-local`. */
+/** Runs the `martenbay-local` command. */
 export async function runLocalCommand(): Promise<void> {
   const program = new Command('martenbay-local')
-    .description('All roles and stand-ins for engines and services in one process, for trials.')
+    .description(
+      'Runs all roles and stand-ins for engines and services in one process, for local testing.',
+    )
     .version(VERSION);
   program
     .command('demo')
-    .description('run a program of several turns, show the decisions, and stop')
-    .option('--keep', 'go on serving afterwards')
+    .description('run a program with several turns, show the routing decisions, and stop')
+    .option('--keep', 'keep serving afterwards')
     .option('--port <number>', 'port for callers', Number)
     .action(async (options: LocalOptions) => {
       await demo(options);
@@ -61,7 +63,7 @@
     .description('serve until stopped')
     .option('--settings <file>', 'TOML file with a section [local]: port, data-folder')
     .action(async (options: { readonly settings?: string }) => {
-      serveUntilStopped(await start(settingsFrom(options.settings)));
+      serveUntilStopped(await startSystem(settingsFrom(options.settings)));
     });
   program
     .command('validate-settings')
@@ -75,12 +77,14 @@
     await program.parseAsync();
   } catch (error) {
     process.stderr.write(`${messageOf(error)}\n`);
-    process.exitCode = error instanceof SettingsError ? INVALID_EXIT : FAILED_EXIT;
+    process.exitCode = error instanceof SettingsError ? INVALID_EXIT_CODE : FAILED_EXIT_CODE;
   }
 }
 
 async function demo(options: LocalOptions): Promise<void> {
-  const system = await start(options.keep === true ? { port: DEFAULT_PORT, ...options } : options);
+  const system = await startSystem(
+    options.keep === true ? { port: DEFAULT_PORT, ...options } : options,
+  );
   await runSession({
     entries: [system.entryUrl],
     key: LOCAL_KEY,
@@ -94,8 +98,8 @@
   process.stdout.write('stopped cleanly\n');
 }
 
-/** Only the entry's lines are shown: they carry the decisions. */
-function start(options: LocalOptions): Promise<LocalSystem> {
+/** Logs only the entry, whose lines contain the routing decisions. */
+function startSystem(options: LocalOptions): Promise<LocalSystem> {
   const { port, dataFolder } = options;
   const entryAddress: Address | undefined =
     port === undefined ? undefined : { host: '127.0.0.1', port };
--- a/src/local/configuration.ts
+++ b/src/local/configuration.ts
@@ -2,14 +2,15 @@
 import { type Address, formatAddress } from '../core';
 import { digestKey } from '../teams';
 
-/** Caller's key of the local system's one team; for trials only. */
+/** Caller's key of the only team of the local system; not secret. */
 export const LOCAL_KEY = 'local-trial-key';
 
-/** A target of the local system: the addresses of its sidecar and of itself. */
 export interface LocalTarget {
   readonly name: string;
   readonly availabilityZone: string;
+  /** Address of its sidecar. */
   readonly sidecar: Address;
+  /** Address of the target itself. */
   readonly address: Address;
 }
 
@@ -18,17 +19,17 @@
   readonly plain: readonly LocalTarget[];
 }
 
-/** The operators' files of a small system: one team, one model, one plain service. */
+/** Configuration files with one team, one engine service and one plain service. */
 export function localFiles(targets: LocalTargets, number = 1): readonly SourceFile[] {
   return [
-    { name: 'places.toml', text: `number = ${number}\n${PLACES}` },
+    { name: 'places.toml', text: `number = ${number}\n${AVAILABILITY_ZONES}` },
     { name: 'programs.toml', text: PROGRAMS },
     { name: 'services.toml', text: SERVICES },
-    { name: 'pools.toml', text: pools(targets) },
+    { name: 'pools.toml', text: formatPools(targets) },
   ];
 }
 
-const PLACES = `
+const AVAILABILITY_ZONES = `
 [[availability-zone]]
 name = "zone-a"
 region = "local"
@@ -74,7 +75,7 @@
 not-repeatable = [{ method = "POST", path = "/bag-fees" }]
 `;
 
-function pools(targets: LocalTargets): string {
+function formatPools(targets: LocalTargets): string {
   return `[[pool]]
 name = "engines"
 checks-fencing = true
--- a/src/local/free-address.ts
+++ b/src/local/free-address.ts
@@ -1,70 +1,71 @@
 import { type Server, createServer } from 'node:net';
 import { type Address, type RandomSource, SystemRandom } from '../core';
 
-/** Below the ports that the system gives to outgoing connections, which could take one first. */
-const LOWEST_PORT = 16_000;
+/** Below the ephemeral ports, which outgoing connections could occupy. */
+const FIRST_PORT = 16_000;
 
-/** Ports of one slice; a process takes all its ports from the slice it owns. */
-const SLICE_PORTS = 125;
-const SLICES = 128;
+const PORTS_PER_RANGE = 125;
+const RANGE_COUNT = 128;
 
-/** The guard of slice `n` is port `n` above this one; whoever listens on it owns the slice. */
-const LOWEST_GUARD_PORT = LOWEST_PORT - SLICES;
-const GUARD_HOST = '127.0.0.1';
+/** A process owns range `n` while it listens on its lock port, `FIRST_LOCK_PORT + n`. */
+const FIRST_LOCK_PORT = FIRST_PORT - RANGE_COUNT;
+const LOCK_HOST = '127.0.0.1';
 
-let ownSlice: Promise<PortSlice> | undefined;
+let ownRange: Promise<PortRange> | undefined;
 
 /**
- * Finds ports that nobody listens on, all different, one for each host named. No two processes
- * that search this way get the same one, although nobody listens on a port when it is given out.
+ * Finds a distinct free port for each host. Processes that use this function at the same time never
+ * get the same port, although the ports are not bound on return.
  */
 export async function findFreeAddresses(
   hosts: readonly string[],
   random: RandomSource = new SystemRandom(),
 ): Promise<readonly Address[]> {
-  ownSlice ??= PortSlice.claim(random);
-  const slice = await ownSlice;
+  ownRange ??= PortRange.acquire(random);
+  const range = await ownRange;
   const found: Address[] = [];
-  for (const host of hosts) found.push({ host, port: await slice.nextFree(host) });
+  for (const host of hosts) found.push({ host, port: await range.nextFreePort(host) });
   return found;
 }
 
-/** A range of ports that belongs to this process until it ends. */
-class PortSlice {
-  readonly #lowest: number;
-  #next = 0;
+/** A range of ports that this process owns until it ends. */
+class PortRange {
+  readonly #firstPort: number;
+  #nextOffset = 0;
 
   private constructor(index: number) {
-    this.#lowest = LOWEST_PORT + index * SLICE_PORTS;
+    this.#firstPort = FIRST_PORT + index * PORTS_PER_RANGE;
   }
 
-  /** Takes the first slice from a random one on whose guard port is free. */
-  static async claim(random: RandomSource): Promise<PortSlice> {
-    const start = Math.floor(random.fraction() * SLICES);
-    for (let offset = 0; offset < SLICES; offset += 1) {
-      const index = (start + offset) % SLICES;
-      const guard = await listen(GUARD_HOST, LOWEST_GUARD_PORT + index);
-      if (guard === undefined) continue;
-      guard.unref();
-      return new PortSlice(index);
+  /** Acquires the first range whose lock port is free, from a random one on. */
+  static async acquire(random: RandomSource): Promise<PortRange> {
+    const start = Math.floor(random.fraction() * RANGE_COUNT);
+    for (let offset = 0; offset < RANGE_COUNT; offset += 1) {
+      const index = (start + offset) % RANGE_COUNT;
+      const lock = await listen(LOCK_HOST, FIRST_LOCK_PORT + index);
+      if (lock === undefined) continue;
+      lock.unref();
+      return new PortRange(index);
     }
-    throw new Error(`All ${SLICES} port ranges from ${LOWEST_PORT} on are in use`);
+    throw new Error(`All ${RANGE_COUNT} port ranges from ${FIRST_PORT} on are in use`);
   }
 
-  async nextFree(host: string): Promise<number> {
-    for (let tries = 0; tries < SLICE_PORTS; tries += 1) {
-      const port = this.#lowest + (this.#next % SLICE_PORTS);
-      this.#next += 1;
+  async nextFreePort(host: string): Promise<number> {
+    for (let attempt = 0; attempt < PORTS_PER_RANGE; attempt += 1) {
+      const port = this.#firstPort + (this.#nextOffset % PORTS_PER_RANGE);
+      this.#nextOffset += 1;
       const server = await listen(host, port);
       if (server === undefined) continue;
       await close(server);
       return port;
     }
-    throw new Error(`All ports from ${this.#lowest} to ${this.#lowest + SLICE_PORTS} are in use`);
+    throw new Error(
+      `All ports from ${this.#firstPort} to ${this.#firstPort + PORTS_PER_RANGE} are in use`,
+    );
   }
 }
 
-/** Listens on an address; nothing when it is taken. */
+/** Listens on an address; resolves with `undefined` if that fails. */
 function listen(host: string, port: number): Promise<Server | undefined> {
   const server = createServer();
   return new Promise((resolve) => {
--- a/src/local/session.ts
+++ b/src/local/session.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici';
 
 export interface SessionOptions {
-  /** Base URLs of the entries; each call goes to the next one. */
+  /** Base URLs of the entries, called in turn. */
   readonly entries: readonly string[];
   readonly key: string;
   readonly write: (line: string) => void;
@@ -24,65 +24,64 @@
 const MODEL = 'stand-in';
 
 /**
- * A program of several turns with a sub-agent and a fee that may be charged only once, as its
- * caller sees it. Every line of the exchange is written.
+ * Runs a program with several turns, a child program and a non-repeatable call, and writes each
+ * request and response as text.
  */
 export async function runSession(options: SessionOptions): Promise<void> {
-  const session = new Session(options);
-  const program = await session.create('program', {});
+  const session = new DemoSession(options);
+  const program = await session.createProgram('program', {});
   const first = [
     { role: 'system', content: 'You rebook travellers.' },
     { role: 'user', content: 'My flight moved. Which seat do I have?' },
   ];
-  const answer = await session.streamedTurn(program, 1, first);
-  const child = await session.create('sub-agent', { parent: program });
+  const firstText = await session.streamedTurn(program, 1, first);
+  const child = await session.createProgram('sub-agent', { parent: program });
   await session.turn(child, 1, [{ role: 'user', content: 'Find the next flight.' }]);
   await session.appendedTurn(program, 2, 'Take that flight.');
-  await session.fee(program, 3);
-  await session.fee(program, 3);
-  await session.executions();
-  const mixed = [...first, { role: 'assistant', content: 'Something else.' }];
-  await session.turn(program, 4, [...mixed, { role: 'user', content: 'Thanks.' }]);
-  await session.replayedTurn(program, 1, first, answer);
-  await session.end(program);
+  await session.chargeFee(program, 3);
+  await session.chargeFee(program, 3);
+  await session.countExecutions();
+  const changedHistory = [...first, { role: 'assistant', content: 'Something else.' }];
+  await session.turn(program, 4, [...changedHistory, { role: 'user', content: 'Thanks.' }]);
+  await session.replayedTurn(program, 1, first, firstText);
+  await session.endProgram(program);
   await session.turn(program, 4, [{ role: 'user', content: 'Still there?' }]);
 }
 
-/** One caller's exchange with the entries. */
-class Session {
+class DemoSession {
   readonly #options: SessionOptions;
-  #next = 0;
+  #nextEntry = 0;
 
   constructor(options: SessionOptions) {
     this.#options = options;
   }
 
-  async create(what: string, body: object): Promise<string> {
-    this.#say(`create ${what}`);
+  async createProgram(label: string, body: object): Promise<string> {
+    this.#write(`create ${label}`);
     const reply = await this.#send({ method: 'POST', path: '/v1/programs', body });
     const program = JSON.parse(reply.text) as { readonly id: string };
-    this.#say(`  ${reply.status} ${reply.text}`);
+    this.#write(`  ${reply.status} ${reply.text}`);
     return program.id;
   }
 
   async streamedTurn(program: string, sequence: number, messages: readonly object[]) {
-    this.#say(`turn ${sequence} of ${program}, streamed`);
+    this.#write(`turn ${sequence} of ${program}, streamed`);
     const reply = await this.#chat(program, sequence, { messages, stream: true });
     const text = readStream(reply.text);
-    this.#say(`  ${reply.status} ${JSON.stringify(text)}`);
+    this.#write(`  ${reply.status} ${JSON.stringify(text)}`);
     return text;
   }
 
   async turn(program: string, sequence: number, messages: readonly object[]): Promise<void> {
-    this.#say(`turn ${sequence} of ${program}`);
-    this.#sayReply(await this.#chat(program, sequence, { messages }));
+    this.#write(`turn ${sequence} of ${program}`);
+    this.#writeReply(await this.#chat(program, sequence, { messages }));
   }
 
   async appendedTurn(program: string, sequence: number, content: string): Promise<void> {
-    this.#say(`turn ${sequence} of ${program}, only the new message sent`);
+    this.#write(`turn ${sequence} of ${program}, only the new message sent`);
     const messages = [{ role: 'user', content }];
     const headers = { 'Martenbay-History': 'append' };
-    this.#sayReply(await this.#chat(program, sequence, { messages }, headers));
+    this.#writeReply(await this.#chat(program, sequence, { messages }, headers));
   }
 
   async replayedTurn(
@@ -92,30 +91,30 @@
     expected: string,
   ): Promise<void> {
     const text = await this.streamedTurn(program, sequence, messages);
-    this.#say(`  the same answer as before: ${text === expected}`);
+    this.#write(`  the same answer as before: ${text === expected}`);
   }
 
-  async fee(program: string, sequence: number): Promise<void> {
-    this.#say(`call ${sequence} of ${program}: a bag fee, which may not be repeated`);
+  async chargeFee(program: string, sequence: number): Promise<void> {
+    this.#write(`call ${sequence} of ${program}: a bag fee, which may not be repeated`);
     const reply = await this.#send({
       method: 'POST',
       path: '/services/check-in/bag-fees',
       headers: { 'Martenbay-Program': program, 'Martenbay-Sequence': String(sequence) },
       body: { bag: 1 },
     });
-    this.#sayReply(reply);
+    this.#writeReply(reply);
   }
 
-  async executions(): Promise<void> {
-    this.#say('how often the service ran a fee');
+  async countExecutions(): Promise<void> {
+    this.#write('how often the service ran a fee');
     const reply = await this.#send({ method: 'GET', path: '/services/check-in/executions' });
     const { total } = JSON.parse(reply.text) as { readonly total: number };
-    this.#say(`  ${reply.status} ${total}`);
+    this.#write(`  ${reply.status} ${total}`);
   }
 
-  async end(program: string): Promise<void> {
-    this.#say(`end ${program}`);
-    this.#sayReply(await this.#send({ method: 'DELETE', path: `/v1/programs/${program}` }));
+  async endProgram(program: string): Promise<void> {
+    this.#write(`end ${program}`);
+    this.#writeReply(await this.#send({ method: 'DELETE', path: `/v1/programs/${program}` }));
   }
 
   #chat(
@@ -138,9 +137,9 @@
 
   async #send(call: Call): Promise<Reply> {
     const { entries, key } = this.#options;
-    const entry = entries[this.#next % entries.length] ?? '';
-    this.#next += 1;
-    const answer = await request(`${entry}${call.path}`, {
+    const entry = entries[this.#nextEntry % entries.length] ?? '';
+    this.#nextEntry += 1;
+    const response = await request(`${entry}${call.path}`, {
       method: call.method as 'GET' | 'POST' | 'DELETE',
       headers: {
         authorization: `Bearer ${key}`,
@@ -149,16 +148,20 @@
       },
       body: call.body === undefined ? null : JSON.stringify(call.body),
     });
-    return { status: answer.statusCode, headers: answer.headers, text: await answer.body.text() };
+    return {
+      status: response.statusCode,
+      headers: response.headers,
+      text: await response.body.text(),
+    };
   }
 
-  #sayReply(reply: Reply): void {
+  #writeReply(reply: Reply): void {
     const outcome = reply.headers['martenbay-outcome'];
     const suffix = typeof outcome === 'string' ? ` (outcome ${outcome})` : '';
-    this.#say(`  ${reply.status}${suffix} ${reply.text}`);
+    this.#write(`  ${reply.status}${suffix} ${reply.text}`);
   }
 
-  #say(line: string): void {
+  #write(line: string): void {
     this.#options.write(line);
   }
 }
@@ -167,17 +170,17 @@
   readonly choices: readonly { readonly delta: { readonly content?: string | null } }[];
 }
 
-/** Puts the text of a streamed answer together; one that did not end as it should says so. */
+/** Joins the text of a streamed response; marks one that has not exactly one `[DONE]` event. */
 function readStream(text: string): string {
   const parts: string[] = [];
-  const ends: string[] = [];
+  const endMarkers: string[] = [];
   const parser = createParser({
     onEvent: ({ data }) => {
-      if (data === '[DONE]') ends.push(data);
+      if (data === '[DONE]') endMarkers.push(data);
       else
         parts.push(...(JSON.parse(data) as Chunk).choices.map(({ delta }) => delta.content ?? ''));
     },
   });
   parser.feed(text);
-  return ends.length === 1 ? parts.join('') : `cut off after: ${text}`;
+  return endMarkers.length === 1 ? parts.join('') : `cut off after: ${text}`;
 }
--- a/src/local/system.ts
+++ b/src/local/system.ts
@@ -28,33 +28,32 @@
 export interface LocalSystemOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Makes the logger of each role. */
   readonly loggerFor: (role: string, host: string) => Logger;
-  /** Where callers reach the entry; any free port unless given. */
+  /** Address of the entry; by default a free port. */
   readonly entryAddress?: Address;
-  /** Folder of the durable state; a temporary one, removed at the stop, unless given. */
+  /** Directory of the durable state; by default a temporary one that is removed on stop. */
   readonly dataFolder?: string;
-  /** Settings of the stand-in engines that differ from the default ones. */
+  /** Overrides of the default settings of the stand-in engines. */
   readonly engineSettings?: StandInSettings;
-  /** Settings of the stand-in service that differ from the default ones. */
+  /** Overrides of the default settings of the stand-in service. */
   readonly plainSettings?: StandInSettings;
-  /** Operators' files besides those of the local system. */
+  /** Configuration files in addition to those of the local system. */
   readonly extraFiles?: readonly SourceFile[];
 }
 
-/** Keys of a stand-in's settings. */
+/** Settings of a stand-in by key. */
 export type StandInSettings = Readonly<Record<string, number | boolean>>;
 
-/** Settings of engines that take no time. */
+/** Settings of engines that generate without delay. */
 export const INSTANT_ENGINE: StandInSettings = {
   'step-milliseconds': 0,
   'sequence-milliseconds': 0,
   'prefill-token-milliseconds': 0,
 };
 
-/** A system that runs: where callers reach it, and how it is stopped. */
 export interface LocalSystem {
   readonly entryUrl: string;
+  /** Already started; its `stop` ends every role. */
   readonly lifeCycle: LifeCycle;
 }
 
@@ -67,7 +66,7 @@
   { name: 'check-in-a', availabilityZone: 'zone-a' },
 ] as const;
 
-/** Starts every role and the stand-ins in this process, with a configuration in force. */
+/** Starts every role and the stand-ins in this process and waits until all are configured. */
 export async function startLocalSystem(options: LocalSystemOptions): Promise<LocalSystem> {
   const addresses = await findFreeAddresses(
     Array.from({ length: 2 + TARGETS.length * 2 }, () => HOST),
@@ -84,26 +83,26 @@
     control: [{ name: 'control-1', address: formatAddress(control) }],
     'process-credential': PROCESS_CREDENTIAL,
   };
-  const hostOf = (name: string, zone: string, address: Address) => ({
+  const hostSettings = (name: string, zone: string, address: Address) => ({
     name,
     'availability-zone': zone,
     address: formatAddress(address),
   });
-  const partsFor = (role: string, name: string) => ({
+  const contextFor = (role: string, name: string) => ({
     clock: options.clock,
     random: options.random,
     logger: options.loggerFor(role, name),
   });
 
   const [engineA, engineB, checkIn] = targets as [LocalTarget, LocalTarget, LocalTarget];
-  const known: LocalTargets = { engines: [engineA, engineB], plain: [checkIn] };
-  addStandIns(lifeCycle, known, options);
+  const localTargets: LocalTargets = { engines: [engineA, engineB], plain: [checkIn] };
+  addStandIns(lifeCycle, localTargets, options);
   lifeCycle.add(
     'control',
     createControlProcess({
-      ...partsFor('control', 'control-1'),
+      ...contextFor('control', 'control-1'),
       settings: controlSettingsSchema.parse({
-        host: hostOf('control-1', 'zone-a', control),
+        host: hostSettings('control-1', 'zone-a', control),
         cluster,
         control: { 'data-folder': folder, 'operator-credential': OPERATOR_CREDENTIAL },
       }),
@@ -111,8 +110,8 @@
   );
   lifeCycle.add(
     'configuration',
-    createApplier(options.clock, control, (number) => [
-      ...localFiles(known, number),
+    createConfigurationApplier(options.clock, control, (number) => [
+      ...localFiles(localTargets, number),
       ...(options.extraFiles ?? []),
     ]),
   );
@@ -120,9 +119,9 @@
     lifeCycle.add(
       target.name,
       createSidecarProcess({
-        ...partsFor('sidecar', `sidecar-${target.name}`),
+        ...contextFor('sidecar', `sidecar-${target.name}`),
         settings: sidecarSettingsSchema.parse({
-          host: hostOf(`sidecar-${target.name}`, target.availabilityZone, target.sidecar),
+          host: hostSettings(`sidecar-${target.name}`, target.availabilityZone, target.sidecar),
           cluster,
           sidecar: { target: target.name, 'target-address': formatAddress(target.address) },
         }),
@@ -132,8 +131,11 @@
   lifeCycle.add(
     'entry',
     createEntryProcess({
-      ...partsFor('entry', 'entry-1'),
-      settings: entrySettingsSchema.parse({ host: hostOf('entry-1', 'zone-a', entry), cluster }),
+      ...contextFor('entry', 'entry-1'),
+      settings: entrySettingsSchema.parse({
+        host: hostSettings('entry-1', 'zone-a', entry),
+        cluster,
+      }),
     }),
   );
   await lifeCycle.start();
@@ -171,7 +173,7 @@
   }
 }
 
-function clientTo(clock: Clock, control: Address, credential: string): ControlClient {
+function createControlClient(clock: Clock, control: Address, credential: string): ControlClient {
   return new ControlClient({
     members: [{ name: 'control-1', address: control }],
     credential,
@@ -179,15 +181,15 @@
   });
 }
 
-/** Applies the local files as an operator would, above what a kept data folder has in force. */
-function createApplier(
+/** On start applies the files, with a number above that of the configuration on disk. */
+function createConfigurationApplier(
   clock: Clock,
   control: Address,
   filesFor: (number: number) => readonly SourceFile[],
 ): Component {
   return {
     start: async () => {
-      const client = clientTo(clock, control, OPERATOR_CREDENTIAL);
+      const client = createControlClient(clock, control, OPERATOR_CREDENTIAL);
       const current = await client.call((connection, signal) =>
         connection.configuration.get.query(undefined, { signal }),
       );
@@ -202,14 +204,14 @@
   };
 }
 
-/** Resolves once the leader has heard from every process and each has the configuration. */
-async function waitUntilReady(clock: Clock, control: Address, targets: number): Promise<void> {
-  const client = clientTo(clock, control, OPERATOR_CREDENTIAL);
+/** Resolves once every process is registered with the leader and has the configuration. */
+async function waitUntilReady(clock: Clock, control: Address, targetCount: number): Promise<void> {
+  const client = createControlClient(clock, control, OPERATOR_CREDENTIAL);
   for (;;) {
     const status = await client.call((connection, signal) =>
       connection.status.query(undefined, { signal }),
     );
-    if (status.nodes.length > targets && status.lagging.length === 0) break;
+    if (status.nodes.length > targetCount && status.lagging.length === 0) break;
     await new Promise((resolve) => {
       clock.after(READY_POLL_MILLISECONDS, () => {
         resolve(undefined);
--- a/src/local/tests/free-address.test.ts
+++ b/src/local/tests/free-address.test.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../../core';
 import { findFreeAddresses } from '../free-address';
 
-/** A copy of the module with a state of its own, as another process has. */
+/** Loads a second copy of the module, whose state is separate as in another process. */
 function loadAsAnotherProcess(): typeof findFreeAddresses {
   let loaded = findFreeAddresses;
   jest.isolateModules(() => {
@@ -14,15 +14,15 @@
 
 const HOSTS = ['127.0.0.1', '127.0.0.1', '127.0.0.1'];
 
-describe('the search for free addresses', () => {
-  it('never gives one address twice to a process', async () => {
+describe('findFreeAddresses', () => {
+  it('never returns the same port twice to a process', async () => {
     const first = await findFreeAddresses(HOSTS);
     const second = await findFreeAddresses(HOSTS);
     const ports = [...first, ...second].map((address) => address.port);
     expect(new Set(ports).size).toBe(ports.length);
   });
 
-  it('never gives the same address to two processes before either listens on it', async () => {
+  it('never returns the same port to two processes, even before either listens on it', async () => {
     const [first, second] = [loadAsAnotherProcess(), loadAsAnotherProcess()];
     const found = [
       ...(await first(HOSTS, new SeededRandom(7))),
--- a/src/local/tests/local-session.test.ts
+++ b/src/local/tests/local-session.test.ts
@@ -2,8 +2,8 @@
 import { Normalizer } from '../../../tests/normalizer';
 import { startTestSystem } from '../../../tests/local-system';
 
-describe('a session with the local system', () => {
-  it('is the same on every run', async () => {
+describe('runSession with the local system', () => {
+  it('writes the same text on every run', async () => {
     const normalizer = new Normalizer();
     const lines: string[] = [];
     const system = await startTestSystem(7);
