--- a/src/binary/control.ts
+++ b/src/binary/control.ts
@@ -6,7 +6,7 @@
   name: 'martenbay-control',
   role: 'control',
   description:
-    'Keeps the accepted configuration, program records, histories and budgets; runs on hosts with a disk.',
+    'Stores the accepted configuration, program records, histories and budgets; needs a disk.',
   schema: controlSettingsSchema,
   create: createControlProcess,
 });
--- a/src/binary/entry.ts
+++ b/src/binary/entry.ts
@@ -5,7 +5,7 @@
 void runBinary({
   name: 'martenbay-entry',
   role: 'entry',
-  description: "Takes callers' requests and routes them to targets.",
+  description: 'Accepts requests of callers and routes them to targets.',
   schema: entrySettingsSchema,
   create: createEntryProcess,
 });
--- a/src/binary/run.ts
+++ b/src/binary/run.ts
@@ -14,17 +14,16 @@
 import { type HostSettings, loadSettings } from '../settings';
 import { VERSION } from './version';
 
-/** Exit codes of the processes. */
 export const EXIT_CODES = {
-  /** Stopped as asked, with no request cut off. */
+  /** Stopped by SIGTERM or SIGINT after all requests in flight had ended. */
   stopped: 0,
-  /** Failed while starting or running; the last log line has the cause. */
+  /** Failed on start, while running or on stop; the last log line has the cause. */
   failed: 1,
   /** The settings or the command line are not valid. */
   invalid: 2,
 } as const;
 
-export interface ProcessParts<Settings> {
+export interface ProcessContext<Settings> {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -37,13 +36,12 @@
   readonly role: string;
   readonly description: string;
   readonly schema: Schema;
-  readonly create: (parts: ProcessParts<z.output<Schema>>) => LifeCycle;
+  readonly create: (context: ProcessContext<z.output<Schema>>) => LifeCycle;
 }
 
-/** Settings of every role have a host section. */
 type RoleSchema = z.ZodType<{ readonly host: HostSettings }>;
 
-/** The whole command line of one role: run, `validate-settings`, `--help`, `--version`. */
+/** Runs the command line of one role, with the subcommand `validate-settings`. */
 export async function runBinary<Schema extends RoleSchema>(
   options: BinaryOptions<Schema>,
 ): Promise<void> {
@@ -57,10 +55,10 @@
   const settingsFile = (): string => {
     const { settings } = program.opts<{ readonly settings?: string }>();
     if (settings !== undefined) return settings;
-    return program.error('name the settings with --settings FILE.toml');
+    return program.error('missing option --settings FILE.toml');
   };
   program.action(async () => {
-    const settings = loadOrExit(options.schema, settingsFile());
+    const settings = loadSettingsOrExit(options.schema, settingsFile());
     await runUntilStopped(options, settings);
   });
   program
@@ -68,13 +66,16 @@
     .description('check the settings and exit')
     .action(() => {
       const file = settingsFile();
-      loadOrExit(options.schema, file);
+      loadSettingsOrExit(options.schema, file);
       process.stdout.write(`${file}: valid\n`);
     });
   await program.parseAsync();
 }
 
-function loadOrExit<Schema extends z.ZodType>(schema: Schema, file: string): z.output<Schema> {
+function loadSettingsOrExit<Schema extends z.ZodType>(
+  schema: Schema,
+  file: string,
+): z.output<Schema> {
   try {
     return loadSettings(schema, file);
   } catch (error) {
--- a/src/binary/sidecar.ts
+++ b/src/binary/sidecar.ts
@@ -5,7 +5,7 @@
 void runBinary({
   name: 'martenbay-sidecar',
   role: 'sidecar',
-  description: 'Stands beside one target: admission, load, orders, drain.',
+  description: 'Runs next to one target: admits calls, reports load, executes orders, drains.',
   schema: sidecarSettingsSchema,
   create: createSidecarProcess,
 });
--- a/src/binary/version.ts
+++ b/src/binary/version.ts
@@ -1,4 +1,4 @@
 declare const MARTENBAY_VERSION: string | undefined;
 
-/** Version of the build; the bundler sets it from the package's version. */
+/** Set by the bundler from the version in `package.json`. */
 export const VERSION = typeof MARTENBAY_VERSION === 'string' ? MARTENBAY_VERSION : 'development';
