--- a/src/explain/causes.ts
+++ b/src/explain/causes.ts
@@ -107,7 +107,6 @@
   return Math.round(share * 10_000) / 10_000;
 }
 
-/** Prefix of the causes of late programs. */
 const LATE_PREFIX = 'late: ';
 
 function groupByProgram(lines: readonly LogLine[]): ReadonlyMap<string, readonly LogLine[]> {
