--- a/bench/fan-out.ts
+++ b/bench/fan-out.ts
@@ -4,7 +4,7 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { type SourceFile, digestFiles } from '../src/configuration';
 import { type Component, SystemClock, createSilentLogger, delay } from '../src/core';
-import { ControlClient, Presence } from '../src/protocol';
+import { ControlClient, ControlSession } from '../src/protocol';
 import { Latencies } from './figures';
 
 const CONNECT_MILLISECONDS = 3000;
@@ -60,12 +60,12 @@
     credential: system.layout.processCredential,
     clock,
   });
-  const presence: Presence = new Presence({
+  const presence: ControlSession = new ControlSession({
     client,
     clock,
     logger,
     heartbeatMilliseconds: 1000,
-    describe: () => ({
+    createHeartbeat: () => ({
       kind: 'sidecar',
       name: `node-${index}`,
       incarnation: 'bench',
@@ -74,14 +74,14 @@
       target: `target-${index}`,
       load: { running: 0, waiting: 0 },
     }),
-    position: () => ({
+    watchPosition: () => ({
       configurationNumber: node.number,
       target: `target-${index}`,
     }),
     onChanges: (changed) => {
       if (changed.configuration === undefined) return;
       node.number = changed.configuration.number;
-      void presence.announce();
+      void presence.sendHeartbeat();
       onAdopted();
     },
   });
--- a/bench/nodes.ts
+++ b/bench/nodes.ts
@@ -1,6 +1,6 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { type Component, SystemClock, createSilentLogger, delay } from '../src/core';
-import { ControlClient, Presence } from '../src/protocol';
+import { ControlClient, ControlSession } from '../src/protocol';
 import { printLine, round } from './figures';
 import { processorSeconds, residentMegabytes, transferredBytes } from './processes';
 
@@ -45,12 +45,12 @@
       credential: system.layout.processCredential,
       clock,
     });
-    const presence = new Presence({
+    const presence = new ControlSession({
       client,
       clock,
       logger,
       heartbeatMilliseconds: HEARTBEAT_MILLISECONDS,
-      describe: () => ({
+      createHeartbeat: () => ({
         kind: 'sidecar',
         name: `node-${index}`,
         incarnation: 'bench',
@@ -59,7 +59,7 @@
         target: `target-${index}`,
         load: { running: 0, waiting: 0 },
       }),
-      position: () => ({ configurationNumber: 1, target: `target-${index}` }),
+      watchPosition: () => ({ configurationNumber: 1, target: `target-${index}` }),
       onChanges: () => undefined,
     });
     presence.start();
--- a/scripts/separate/layout.ts
+++ b/scripts/separate/layout.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { stringify } from 'smol-toml';
 import { type Address, formatAddress } from '../../src/core';
-import { type LocalTarget, findFreeAddresses, localFiles } from '../../src/local';
+import { type LocalTarget, findFreeAddresses, localConfigurationFiles } from '../../src/local';
 
 /** What a system of separate processes is made of. */
 export interface LayoutOptions {
@@ -77,7 +77,7 @@
   const configuration = join(options.folder, 'configuration');
   await mkdir(configuration, { recursive: true });
   const places = await choosePlaces(options);
-  const files = localFiles({
+  const files = localConfigurationFiles({
     engines: places.targets.filter((target) => target.type === 'engine'),
     plain: places.targets.filter((target) => target.type === 'plain'),
   });
--- a/src/cluster/tests/replica.test.ts
+++ b/src/cluster/tests/replica.test.ts
@@ -1,7 +1,7 @@
 import { SeededRandom, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
-import { MemoryDisk } from '../../storage/tests/disk';
+import { MemoryDisk } from '../../storage/tests/memory-disk';
 import {
   ClusterReplica,
   ClusterBootstrap,
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,5 +1,5 @@
 export { type Change, diffConfigurations } from './diff';
-export { type AdoptOutcome, ConfigurationInForce } from './in-force';
+export { type AdoptOutcome, ActiveConfiguration } from './active-configuration';
 export { safeReadDirectory } from './directory';
 export {
   ConfigurationError,
--- /dev/null
+++ b/src/control/host-list-reader.ts
@@ -0,0 +1,70 @@
+import { request } from 'undici';
+import * as z from 'zod';
+import {
+  type Address,
+  type Clock,
+  type Component,
+  type Logger,
+  PeriodicTask,
+  formatAddress,
+  messageOf,
+  startTimeout,
+} from '../core';
+
+/** The platform's response to `GET /`. */
+const hostListSchema = z.object({
+  hosts: z.array(z.looseObject({ host: z.string(), state: z.string() })),
+});
+
+const READ_TIMEOUT_MILLISECONDS = 1000;
+
+export interface HostListReaderOptions {
+  readonly address: Address;
+  readonly intervalMilliseconds: number;
+  readonly clock: Clock;
+  readonly logger: Logger;
+  /** Whether to read the list; true only on the leader of the configuration group. */
+  readonly isEnabled: () => boolean;
+  /** Called after each read with the names of the hosts whose state is `leaving` or `live`. */
+  readonly onHosts: (draining: readonly string[], live: readonly string[]) => void;
+}
+
+/**
+ * Polls the platform's host list. The list lags behind: it shows which hosts are leaving, but is no
+ * proof that a host is up or down. A failed read is logged and changes nothing.
+ */
+export class HostListReader implements Component {
+  readonly #options: HostListReaderOptions;
+  readonly #task: PeriodicTask;
+
+  constructor(options: HostListReaderOptions) {
+    this.#options = options;
+    this.#task = new PeriodicTask(options.clock, options.intervalMilliseconds, () => this.read());
+  }
+
+  start(): void {
+    this.#task.start();
+  }
+
+  stop(): void {
+    this.#task.stop();
+  }
+
+  async read(): Promise<void> {
+    const { address, clock, logger, isEnabled, onHosts } = this.#options;
+    if (!isEnabled()) return;
+    const { controller, cancel } = startTimeout(clock, READ_TIMEOUT_MILLISECONDS);
+    try {
+      const url = `http://${formatAddress(address)}/`;
+      const response = await request(url, { signal: controller.signal });
+      const { hosts } = hostListSchema.parse(await response.body.json());
+      const hostsInState = (state: string) =>
+        hosts.filter((entry) => entry.state === state).map((entry) => entry.host);
+      onHosts(hostsInState('leaving'), hostsInState('live'));
+    } catch (error) {
+      logger.warn({ event: 'host-list-unreadable', error: messageOf(error) });
+    } finally {
+      cancel();
+    }
+  }
+}
--- a/src/control/index.ts
+++ b/src/control/index.ts
@@ -1,1 +1,1 @@
-export { type ControlProcessOptions, createControlProcess } from './process';
+export { type ControlProcessOptions, createControlProcess } from './control-process';
--- a/src/local/index.ts
+++ b/src/local/index.ts
@@ -1,5 +1,10 @@
 export { runLocalCommand } from './command';
-export { LOCAL_KEY, type LocalTarget, type LocalTargets, localFiles } from './configuration';
+export {
+  LOCAL_KEY,
+  type LocalTarget,
+  type LocalTargets,
+  localConfigurationFiles,
+} from './configuration';
 export { findFreeAddresses } from './free-address';
 export { type SessionOptions, runSession } from './session';
 export {
--- a/src/nodes/node-context.ts
+++ b/src/nodes/node-context.ts
@@ -27,7 +27,7 @@
   type VersionedConfiguration,
   ViewController,
 } from '../cluster';
-import { LatencyHistograms } from '../core/latency';
+import { LatencyHistograms } from '../core/latency-histograms';
 import { type CallHandlers, type CastHandlers, RpcServer, PeerConnections } from '../rpc';
 import type { QuotaAllocator } from '../quotas';
 import { NodeFileSystem, QuarantiningStore, type RecordStore } from '../storage';
--- a/src/protocol/presence.ts
+++ b/src/protocol/control-session.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationInForce } from '../configuration';
+import type { ActiveConfiguration } from '../configuration';
 import {
   type CancelTimer,
   type Clock,
@@ -11,59 +11,59 @@
 import type { ControlClient } from './control-client';
 import type { Heartbeat, Watch, WatchChanges } from './schemas';
 
-export interface PresenceOptions {
+export interface ControlSessionOptions {
   readonly client: ControlClient;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly heartbeatMilliseconds: number;
-  /** The process's present state. */
-  readonly describe: () => Heartbeat;
-  /** What the process has, so that it is told only what is newer. */
-  readonly position: () => Omit<Watch, 'waitMilliseconds'>;
+  /** Current state of the process. */
+  readonly createHeartbeat: () => Heartbeat;
+  /** Versions that the process already has; a watch returns only newer ones. */
+  readonly watchPosition: () => Omit<Watch, 'waitMilliseconds'>;
   readonly onChanges: (changes: WatchChanges) => Promise<void> | void;
 }
 
-/** Puts a configuration that a watch brought in force, and tells the leader so. */
-export function adoptChanges(
-  configuration: ConfigurationInForce,
+/** Activates a configuration received by a watch and reports its number to the leader. */
+export function applyConfigurationChange(
+  configuration: ActiveConfiguration,
   changes: WatchChanges,
-  presence: Presence,
+  session: ControlSession,
   logger: Logger,
 ): void {
   if (changes.configuration === undefined) return;
   const { number } = changes.configuration;
   const outcome = configuration.adopt(changes.configuration);
   logger.info({ event: 'configuration', outcome, number });
-  void presence.announce();
+  void session.sendHeartbeat();
 }
 
-/** How long the leader holds a watch without news; milliseconds. */
-const WATCH_MILLISECONDS = 10_000;
+/** Longest time that the leader holds a watch while nothing changes. */
+const WATCH_WAIT_MILLISECONDS = 10_000;
 
-/** Margin for the answer to a held watch; milliseconds. */
-const ANSWER_MILLISECONDS = 2000;
+/** Added to the wait: the leader responds only when the wait ends. */
+const RESPONSE_MARGIN_MILLISECONDS = 2000;
 
-/** A leader that has not answered a heartbeat by then is taken for frozen or cut off. */
-const HEARTBEAT_ANSWER_MILLISECONDS = 1000;
+/** After this time without an answer the leader counts as suspended or unreachable. */
+const HEARTBEAT_TIMEOUT_MILLISECONDS = 1000;
 
 const HEARTBEAT_DEADLINE_MILLISECONDS = 3000;
 
-const RETRY_MILLISECONDS = 100;
+const WATCH_RETRY_DELAY_MILLISECONDS = 100;
 
-/** Keeps an entry or sidecar known to the leader, and brings it what changes. */
-export class Presence implements Component {
-  readonly #options: PresenceOptions;
+/** Sends heartbeats of an entry or sidecar to the leader and watches it for changes. */
+export class ControlSession implements Component {
+  readonly #options: ControlSessionOptions;
   #cancelHeartbeat: CancelTimer = () => undefined;
   #stopped = false;
 
-  constructor(options: PresenceOptions) {
+  constructor(options: ControlSessionOptions) {
     this.#options = options;
   }
 
   start(): void {
     const { clock, heartbeatMilliseconds } = this.#options;
-    void this.announce();
-    this.#cancelHeartbeat = repeat(clock, heartbeatMilliseconds, () => this.announce());
+    void this.sendHeartbeat();
+    this.#cancelHeartbeat = repeat(clock, heartbeatMilliseconds, () => this.sendHeartbeat());
     void this.#watch();
   }
 
@@ -72,15 +72,15 @@
     this.#cancelHeartbeat();
   }
 
-  /** Sends a heartbeat now; resolves once it was heard or given up. */
-  async announce(): Promise<void> {
-    const { client, describe, logger } = this.#options;
+  /** Sends a heartbeat immediately; resolves once it was acknowledged or has failed. */
+  async sendHeartbeat(): Promise<void> {
+    const { client, createHeartbeat, logger } = this.#options;
     try {
       await client.call(
-        (connection, signal) => connection.nodes.heartbeat.mutate(describe(), { signal }),
+        (connection, signal) => connection.nodes.heartbeat.mutate(createHeartbeat(), { signal }),
         {
           deadlineMilliseconds: HEARTBEAT_DEADLINE_MILLISECONDS,
-          attemptMilliseconds: HEARTBEAT_ANSWER_MILLISECONDS,
+          attemptMilliseconds: HEARTBEAT_TIMEOUT_MILLISECONDS,
         },
       );
     } catch (error) {
@@ -95,19 +95,19 @@
         const changes = await client.call<WatchChanges>(
           (connection, signal) =>
             connection.nodes.watch.query(
-              { ...this.#options.position(), waitMilliseconds: WATCH_MILLISECONDS },
+              { ...this.#options.watchPosition(), waitMilliseconds: WATCH_WAIT_MILLISECONDS },
               { signal },
             ),
           {
-            deadlineMilliseconds: WATCH_MILLISECONDS * 2,
-            attemptMilliseconds: WATCH_MILLISECONDS + ANSWER_MILLISECONDS,
+            deadlineMilliseconds: WATCH_WAIT_MILLISECONDS * 2,
+            attemptMilliseconds: WATCH_WAIT_MILLISECONDS + RESPONSE_MARGIN_MILLISECONDS,
           },
         );
         await onChanges(changes);
       } catch (error) {
         if (this.#isStopped) return;
         logger.warn({ event: 'watch-failed', error: messageOf(error) });
-        await delay(clock, RETRY_MILLISECONDS);
+        await delay(clock, WATCH_RETRY_DELAY_MILLISECONDS);
       }
     }
   }
--- a/src/protocol/index.ts
+++ b/src/protocol/index.ts
@@ -12,14 +12,14 @@
   formatLoad,
   parseLoad,
 } from './headers';
-export { HttpListener, type HealthSource, answerHealth } from './listen';
+export { HttpListener, type HealthSource, handleHealthRequest } from './http-listener';
 export type {
   ControlApi,
-  Delivered,
-  EntryLife,
+  DeliveryResult,
+  EntryLivenessResult,
   FoundProgram,
   GroupEnvelopes,
-  InForce,
+  ActiveConfigurationResult,
   KnownTerm,
   OrderOffer,
 } from './router';
@@ -32,11 +32,15 @@
   NodeState,
   NodeStatus,
   NotLeader,
-  Noted,
+  Acknowledgement,
   Status,
   TargetRecord,
   TeamStatus,
   Watch,
   WatchChanges,
 } from './schemas';
-export { Presence, type PresenceOptions, adoptChanges } from './presence';
+export {
+  ControlSession,
+  type ControlSessionOptions,
+  applyConfigurationChange,
+} from './control-session';
--- a/src/replication/tests/replicated-log-simulation.ts
+++ b/src/replication/tests/replicated-log-simulation.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
-import { MemoryDisk } from '../../storage/tests/disk';
+import { MemoryDisk } from '../../storage/tests/memory-disk';
 import { type Envelope, ReplicatedLog, destinationHostOf, hostNameOf } from '..';
 import { ListMachine } from './list-machine';
 import { UnreliableNetwork } from './unreliable-network';
@@ -119,9 +119,9 @@
   }
 
   async #start(host: Host): Promise<void> {
-    host.disk.slow = false;
+    host.disk.paused = false;
     await host.log.start();
-    host.disk.slow = true;
+    host.disk.paused = true;
     host.alive = true;
   }
 
@@ -165,7 +165,7 @@
   }
 
   #completeDiskOperations(host: Host): void {
-    if (!host.paused) host.disk.letGo(1 + Math.floor(this.#random.fraction() * 10));
+    if (!host.paused) host.disk.releaseOperations(1 + Math.floor(this.#random.fraction() * 10));
   }
 
   #deliverSome(): void {
@@ -199,7 +199,7 @@
     if (!host.alive) return;
     host.alive = false;
     host.paused = false;
-    host.disk.crash(this.#random);
+    host.disk.losePower(this.#random);
   }
 
   /** Replaces a disk by an empty one, unless a host that lost its disk is not a voter again yet. */
@@ -256,7 +256,7 @@
     for (let round = 0; round < SETTLE_ROUNDS; round += 1) {
       for (const host of this.#hosts) {
         this.#advanceClock(host, TICK_MILLISECONDS);
-        host.disk.letGo();
+        host.disk.releaseOperations();
       }
       for (const envelope of this.#network.takeAll()) this.#deliver(envelope);
       await runPendingTasks();
--- a/src/replication/tests/replicated-log.test.ts
+++ b/src/replication/tests/replicated-log.test.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
-import { MemoryDisk } from '../../storage/tests/disk';
+import { MemoryDisk } from '../../storage/tests/memory-disk';
 import { type Envelope, type LogEntry, type RaftMessage, ReplicatedLog } from '..';
 import { ListMachine } from './list-machine';
 
@@ -74,7 +74,7 @@
     await deliver(append(1, 20));
     await deliver(snapshotAt(15));
     await waitForSent('append-answer');
-    disk.crash(new SeededRandom(2));
+    disk.losePower(new SeededRandom(2));
     await start();
     expect(machine.commands).toHaveLength(15);
     const answers = await deliver(append(21, 21, 21));
@@ -89,7 +89,7 @@
     } as RaftMessage);
     await deliver(snapshotAt(15));
     await waitForSent('append-answer');
-    disk.crash(new SeededRandom(2));
+    disk.losePower(new SeededRandom(2));
     await start();
     const answers = await deliver(append(21, 21, 21));
     expect(answers).toMatchObject([{ kind: 'append-answer', success: false }]);
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -6,7 +6,7 @@
   type CompleteStep,
   type CreateProgram,
   type EndProgram,
-  type KindInForce,
+  type ResolvedKind,
   type ResolveStep,
   abandonStepSchema,
   acceptConfigurationSchema,
@@ -20,11 +20,15 @@
   type AcceptedConfiguration,
   type ConfigurationChanges,
   ConfigurationStateMachine,
-} from './configuration-machine';
-export { contentsOf, fillBegin, fillComplete } from './contents';
+} from './configuration-state-machine';
+export { contentHandlesOf, toBeginOutcome, toCompleteOutcome } from './step-contents';
 export { CONFIGURATION_GROUP, groupOfProgram, programIdOf } from './groups';
-export { resolveKind } from './kinds';
-export { type CommandResult, type CommandResults, ProgramStateMachine } from './machine';
+export { resolveKind } from './resolved-kind';
+export {
+  type CommandResult,
+  type CommandResults,
+  ProgramStateMachine,
+} from './program-state-machine';
 export {
   type AcceptOutcome,
   type BeginDecision,
@@ -51,6 +55,6 @@
   answerSchema,
   orderSchema,
 } from './records';
-export type { SnapshotContents } from './snapshot';
+export type { SnapshotContentStore } from './snapshot';
 export { evaluateBegin, sequenceOf } from './steps';
-export type { Tables } from './tables';
+export type { ProgramTables } from './program-tables';
--- a/src/state/tests/memory-contents.ts
+++ b/src/state/tests/memory-content-store.ts
@@ -1,7 +1,7 @@
-import type { SnapshotContents } from '..';
+import type { SnapshotContentStore } from '..';
 
-/** Contents in memory, read at once. */
-export class MemoryContents implements SnapshotContents {
+/** Keeps contents in memory, with a synchronous read. */
+export class MemoryContentStore implements SnapshotContentStore {
   readonly #texts = new Map<number, string>();
   #next = 1;
 
@@ -11,18 +11,18 @@
 
   put(text: string): number {
     const handle = this.#next;
-    this.putAs(handle, text);
+    this.putWithHandle(handle, text);
     return handle;
   }
 
-  putAs(handle: number, text: string): void {
+  putWithHandle(handle: number, text: string): void {
     this.#next = Math.max(this.#next, handle + 1);
     this.#texts.set(handle, text);
   }
 
   read(handle: number): string {
     const text = this.#texts.get(handle);
-    if (text === undefined) throw new Error(`no content ${handle}`);
+    if (text === undefined) throw new Error(`No content with handle ${handle}`);
     return text;
   }
 
@@ -42,11 +42,11 @@
     this.#texts.clear();
   }
 
-  adopt(): void {
-    throw new Error('contents in memory have no places');
+  restore(): void {
+    throw new Error('MemoryContentStore has no content locations to adopt');
   }
 
-  placeOf(): undefined {
+  locationOf(): undefined {
     return undefined;
   }
 
--- a/src/storage/index.ts
+++ b/src/storage/index.ts
@@ -1,8 +1,8 @@
 export {
-  type ContentPlace,
+  type ContentLocation,
   ContentStore,
   type ContentStoreOptions,
-  contentPlaceSchema,
+  contentLocationSchema,
 } from './content-store';
 export { StorageError } from './errors';
 export {
--- a/src/turns/client.ts
+++ b/src/turns/client.ts
@@ -1,5 +1,12 @@
 import type { LatestValue, StoreView, ViewMember } from '../cluster';
-import { type Clock, FoldedLine, type Logger, type Metrics, delay, messageOf } from '../core';
+import {
+  type Clock,
+  RateLimitedLogLine,
+  type Logger,
+  type Metrics,
+  delay,
+  messageOf,
+} from '../core';
 import type { RpcClient } from '../rpc';
 import { type ReserveOptions, type ReserveOutcome, evaluateBudget } from './reservation-budget';
 import type { ChainCache } from './chain-cache';
@@ -51,13 +58,18 @@
   readonly #options: TurnClientOptions;
   /** Stores that missed their last call's deadline; no round waits for them after its quorum. */
   readonly #unresponsive = new Set<string>();
-  readonly #quorumMissedLog: FoldedLine;
+  readonly #quorumMissedLog: RateLimitedLogLine;
 
   constructor(options: TurnClientOptions) {
     this.#options = options;
     const { clock, logger } = options;
     const milliseconds = QUORUM_MISSED_LOG_INTERVAL_MILLISECONDS;
-    this.#quorumMissedLog = new FoldedLine({ event: 'quorum-missed', milliseconds, clock, logger });
+    this.#quorumMissedLog = new RateLimitedLogLine({
+      event: 'quorum-missed',
+      intervalMilliseconds: milliseconds,
+      clock,
+      logger,
+    });
   }
 
   /**
@@ -263,7 +275,7 @@
         }
         reason = describeRound(round);
         metrics.count('quorums_missed_total');
-        this.#quorumMissedLog.note({ epoch: view.epoch, reason });
+        this.#quorumMissedLog.write({ epoch: view.epoch, reason });
       }
       if (clock.monotonic() + RETRY_DELAY_MILLISECONDS >= options.deadline) {
         throw new TurnsUnavailableError(`too few stores answer: ${reason}`);
--- a/src/turns/tests/simulated-cluster.ts
+++ b/src/turns/tests/simulated-cluster.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '../../core/tests/manual-clock';
 import type { RpcClient } from '../../rpc';
 import { SegmentedStore } from '../../storage';
-import { MemoryDisk } from '../../storage/tests/disk';
+import { MemoryDisk } from '../../storage/tests/memory-disk';
 import { Backfill, ChainCache, TurnClient, type TurnContract, TurnJournal, TurnStore } from '..';
 
 const FOLDER = '/turns';
@@ -97,7 +97,7 @@
     if (wipes) {
       host.disk.wipe();
       host.journal = new TurnJournal(new SegmentedStore({ folder: FOLDER }), this.random);
-    } else host.disk.crash(this.random);
+    } else host.disk.losePower(this.random);
     this.#messages = this.#messages.filter(({ from, to }) => from !== name && to !== name);
   }
 
--- a/src/turns/tests/store-epochs.test.ts
+++ b/src/turns/tests/store-epochs.test.ts
@@ -2,7 +2,7 @@
 import { Metrics, SeededRandom, createSilentLogger } from '../../core';
 import { ManualClock } from '../../core/tests/manual-clock';
 import { SegmentedStore } from '../../storage';
-import { MemoryDisk } from '../../storage/tests/disk';
+import { MemoryDisk } from '../../storage/tests/memory-disk';
 import { Backfill, TurnJournal, TurnStore } from '..';
 
 const RECORD = {
@@ -57,7 +57,7 @@
       const first = await createStore(disk);
       first.view.offer(viewOf(2, first.journal.dataLife));
       await first.store.calls['turns.record']?.({ epoch: 2, record: RECORD });
-      disk.crash(new SeededRandom(2));
+      disk.losePower(new SeededRandom(2));
       const { store } = await createStore(disk);
       const answer = await store.calls['turns.record']?.({ epoch: 1, record: RECORD });
       expect(answer).toMatchObject({ kind: 'stale' });
