--- a/stand-ins/engine/cache.ts
+++ b/stand-ins/engine/cache.ts
@@ -1,6 +1,6 @@
 import { digestText } from '../../src/core';
 
-/** A block of cached prompt tokens; its key covers everything before it as well. */
+/** A block of cached prompt tokens; its key is a digest of all tokens up to its end. */
 interface CachedBlock {
   readonly key: string;
   lastUsed: number;
@@ -8,18 +8,17 @@
   pins: number;
 }
 
-/** A change of the cache, as events report it. */
 export interface CacheChange {
   readonly kind: 'stored' | 'removed';
   readonly block: string;
 }
 
-/** A prefix cache of fixed-size blocks in limited memory, evicting the least recently used. */
+/** A prefix cache of fixed-size blocks with least-recently-used eviction. */
 export class PrefixCache {
   readonly #capacity: number;
   readonly #blocks = new Map<string, CachedBlock>();
   readonly #onChange: (change: CacheChange) => void;
-  #uses = 0;
+  #useCount = 0;
 
   constructor(capacityBlocks: number, onChange: (change: CacheChange) => void) {
     this.#capacity = capacityBlocks;
@@ -30,24 +29,25 @@
     return this.#blocks.size;
   }
 
-  /** How many of the leading blocks are held. */
-  match(keys: readonly string[]): number {
+  /** Number of leading blocks that are cached. */
+  countCachedPrefix(keys: readonly string[]): number {
     const missing = keys.findIndex((key) => !this.#blocks.has(key));
     return missing < 0 ? keys.length : missing;
   }
 
-  /** Holds blocks for a running call; returns whether they fit. */
+  /** Pins the blocks of a running call; returns false and changes nothing if they do not fit. */
   pin(keys: readonly string[], owner: string): boolean {
-    const fresh = keys.filter((key) => !this.#blocks.has(key)).length;
-    const wanted = new Set(keys);
+    const missingBlocks = keys.filter((key) => !this.#blocks.has(key)).length;
+    const requestedKeys = new Set(keys);
     const evictable = [...this.#blocks.values()].filter(
-      (block) => block.pins === 0 && !wanted.has(block.key),
+      (block) => block.pins === 0 && !requestedKeys.has(block.key),
     );
     const free = this.#capacity - this.#blocks.size;
-    if (fresh > free + evictable.length) return false;
+    if (missingBlocks > free + evictable.length) return false;
     evictable.sort((left, right) => left.lastUsed - right.lastUsed);
-    for (const block of evictable.slice(0, Math.max(0, fresh - free))) this.#remove(block.key);
-    for (const key of keys) this.#use(key, owner).pins += 1;
+    for (const block of evictable.slice(0, Math.max(0, missingBlocks - free)))
+      this.#remove(block.key);
+    for (const key of keys) this.#touch(key, owner).pins += 1;
     return true;
   }
 
@@ -58,30 +58,29 @@
     }
   }
 
-  /** Drops what only this owner holds; returns the number of blocks dropped. */
+  /** Removes unpinned blocks of which this is the only owner; returns their number. */
   release(owner: string): number {
-    const held = [...this.#blocks.values()].filter((block) => block.owners.delete(owner));
-    const dead = held.filter((block) => block.owners.size === 0 && block.pins === 0);
-    for (const block of dead) this.#remove(block.key);
-    return dead.length;
+    const released = [...this.#blocks.values()].filter((block) => block.owners.delete(owner));
+    const unused = released.filter((block) => block.owners.size === 0 && block.pins === 0);
+    for (const block of unused) this.#remove(block.key);
+    return unused.length;
   }
 
-  /** Blocks of one owner, for export. */
+  /** Keys of the blocks of one owner. */
   exportOwner(owner: string): readonly string[] {
     return [...this.#blocks.values()]
       .filter((block) => block.owners.has(owner))
       .map((block) => block.key);
   }
 
-  /** Adds blocks computed elsewhere; returns whether they fit. */
+  /** Adds blocks of another engine; returns false if they do not fit. */
   importOwner(owner: string, keys: readonly string[]): boolean {
     if (!this.pin(keys, owner)) return false;
     this.unpin(keys);
     return true;
   }
 
-  /** Number of blocks that each owner holds. */
-  listing(): Readonly<Record<string, number>> {
+  blockCountsByOwner(): Readonly<Record<string, number>> {
     const counts = new Map<string, number>();
     for (const block of this.#blocks.values()) {
       for (const owner of block.owners) counts.set(owner, (counts.get(owner) ?? 0) + 1);
@@ -89,13 +88,13 @@
     return Object.fromEntries([...counts].sort(([left], [right]) => (left < right ? -1 : 1)));
   }
 
-  #use(key: string, owner: string): CachedBlock {
-    this.#uses += 1;
-    const known = this.#blocks.get(key);
-    const block = known ?? { key, lastUsed: 0, owners: new Set<string>(), pins: 0 };
-    block.lastUsed = this.#uses;
+  #touch(key: string, owner: string): CachedBlock {
+    this.#useCount += 1;
+    const existing = this.#blocks.get(key);
+    const block = existing ?? { key, lastUsed: 0, owners: new Set<string>(), pins: 0 };
+    block.lastUsed = this.#useCount;
     block.owners.add(owner);
-    if (known === undefined) {
+    if (existing === undefined) {
       this.#blocks.set(key, block);
       this.#onChange({ kind: 'stored', block: key });
     }
@@ -108,7 +107,7 @@
   }
 }
 
-/** Keys of the whole blocks of a token list. */
+/** Keys of the complete blocks of a token list; a partial last block has none. */
 export function blockKeys(tokens: readonly string[], blockTokens: number): readonly string[] {
   const keys: string[] = [];
   let previous = '';
--- a/stand-ins/engine/events.ts
+++ b/stand-ins/engine/events.ts
@@ -1,20 +1,19 @@
 import type { CacheChange } from './cache';
 
-/** A numbered cache event. */
 export interface CacheEvent extends CacheChange {
   readonly number: number;
 }
 
 export interface EventFaults {
-  /** Every so-manieth event is lost; 0 for none. */
+  /** Loses every n-th event; 0 for none. */
   readonly loseEvery: number;
-  /** How long an event is held back; milliseconds. */
+  /** Delay between a change and its event. */
   readonly delayMilliseconds: number;
 }
 
-const KEPT_EVENTS = 10_000;
+const MAX_RETAINED_EVENTS = 10_000;
 
-/** Cache events as an engine publishes them: late, numbered, and with gaps. */
+/** Numbered cache events, published with a delay and with gaps where events were lost. */
 export class EventLog {
   readonly #faults: EventFaults;
   readonly #now: () => number;
@@ -32,10 +31,10 @@
     if (loseEvery > 0 && this.#number % loseEvery === 0) return;
     const event = { ...change, number: this.#number };
     this.#events.push({ event, dueAt: this.#now() + delayMilliseconds });
-    if (this.#events.length > KEPT_EVENTS) this.#events.shift();
+    if (this.#events.length > MAX_RETAINED_EVENTS) this.#events.shift();
   }
 
-  /** Events above a number that are due by now. */
+  /** Published events with a higher number. */
   after(number: number): readonly CacheEvent[] {
     const now = this.#now();
     return this.#events
--- a/stand-ins/engine/model.ts
+++ b/stand-ins/engine/model.ts
@@ -1,16 +1,19 @@
 import { type CacheChange, PrefixCache, blockKeys } from './cache';
 
-/** How fast the modelled engine is; times in milliseconds. */
+/** Durations from which the time of a step is computed. */
 export interface EngineSpeed {
+  /** Fixed part of each step. */
   readonly stepMilliseconds: number;
+  /** Per sequence that decodes a token in the step. */
   readonly sequenceMilliseconds: number;
+  /** Per prompt token that is prefilled in the step. */
   readonly prefillTokenMilliseconds: number;
 }
 
 export interface EngineModelOptions {
   readonly speed: EngineSpeed;
   readonly batchLimit?: number;
-  /** Prompt tokens that one step works on, at most. */
+  /** Maximum of prompt tokens that one step prefills. */
   readonly prefillTokensPerStep?: number;
   readonly blockTokens?: number;
   readonly cacheBlocks?: number;
@@ -20,17 +23,17 @@
 export interface EngineCall {
   readonly id: string;
   readonly owner: string;
-  /** Lower goes first. */
+  /** Lower values run first. */
   readonly priority: number;
   readonly prompt: readonly string[];
   readonly output: readonly string[];
 }
 
-/** What one step brought for one call. */
+/** A token that one step decoded for one call. */
 export interface Emission {
   readonly id: string;
   readonly token: string;
-  readonly last: boolean;
+  readonly isLast: boolean;
   readonly cachedTokens: number;
 }
 
@@ -43,13 +46,13 @@
   readonly call: EngineCall;
   readonly keys: readonly string[];
   readonly cachedTokens: number;
-  prefillLeft: number;
-  emitted: number;
+  remainingPrefillTokens: number;
+  emittedTokens: number;
 }
 
 /**
- * An engine that batches continuously: each step prefills some prompt tokens and decodes one token
- * of every call in the batch, and takes longer the more it does. It reads no clock.
+ * Model of an engine with continuous batching: each step prefills a limited number of prompt tokens
+ * and decodes one token of every prefilled call. Reads no clock; steps return their duration.
  */
 export class EngineModel {
   readonly cache: PrefixCache;
@@ -80,7 +83,7 @@
     return this.#waiting.length;
   }
 
-  get busy(): boolean {
+  get isBusy(): boolean {
     return this.running + this.waiting > 0;
   }
 
@@ -89,18 +92,18 @@
     this.#waiting.splice(at < 0 ? this.#waiting.length : at, 0, call);
   }
 
-  /** Takes a call out of the queue or the batch. */
+  /** Removes a call from the queue or the batch. */
   cancel(id: string): void {
     this.#waiting = this.#waiting.filter((call) => call.id !== id);
     const running = this.#running.find((entry) => entry.call.id === id);
     if (running !== undefined) this.#finish(running);
   }
 
-  /** Does one step; its emissions are due when its time has passed. */
+  /** Runs one step; the caller delivers its emissions after `milliseconds`. */
   step(): StepResult {
     this.#admit();
     const prefilled = this.#prefill();
-    const decoding = this.#running.filter((entry) => entry.prefillLeft === 0);
+    const decoding = this.#running.filter((entry) => entry.remainingPrefillTokens === 0);
     const emissions = decoding.map((entry) => this.#decode(entry));
     const { stepMilliseconds, sequenceMilliseconds, prefillTokenMilliseconds } = this.#speed;
     const milliseconds =
@@ -115,20 +118,26 @@
       const [call] = this.#waiting;
       if (call === undefined) return;
       const keys = blockKeys(call.prompt, this.#blockTokens);
-      const cachedTokens = this.cache.match(keys) * this.#blockTokens;
+      const cachedTokens = this.cache.countCachedPrefix(keys) * this.#blockTokens;
       const fits = this.cache.pin(keys, call.owner);
       if (!fits && this.#running.length > 0) return;
       this.#waiting.shift();
-      const prefillLeft = call.prompt.length - cachedTokens;
-      this.#running.push({ call, keys: fits ? keys : [], cachedTokens, prefillLeft, emitted: 0 });
+      const remainingPrefillTokens = call.prompt.length - cachedTokens;
+      this.#running.push({
+        call,
+        keys: fits ? keys : [],
+        cachedTokens,
+        remainingPrefillTokens,
+        emittedTokens: 0,
+      });
     }
   }
 
   #prefill(): number {
     let budget = this.#prefillTokensPerStep;
     for (const entry of this.#running) {
-      const tokens = Math.min(entry.prefillLeft, budget);
-      entry.prefillLeft -= tokens;
+      const tokens = Math.min(entry.remainingPrefillTokens, budget);
+      entry.remainingPrefillTokens -= tokens;
       budget -= tokens;
     }
     return this.#prefillTokensPerStep - budget;
@@ -136,11 +145,11 @@
 
   #decode(entry: RunningCall): Emission {
     const { call, cachedTokens } = entry;
-    const token = call.output[entry.emitted] ?? '';
-    entry.emitted += 1;
-    const last = entry.emitted >= call.output.length;
-    if (last) this.#finish(entry);
-    return { id: call.id, token, last, cachedTokens };
+    const token = call.output[entry.emittedTokens] ?? '';
+    entry.emittedTokens += 1;
+    const isLast = entry.emittedTokens >= call.output.length;
+    if (isLast) this.#finish(entry);
+    return { id: call.id, token, isLast, cachedTokens };
   }
 
   #finish(entry: RunningCall): void {
--- a/stand-ins/engine/orders.ts
+++ b/stand-ins/engine/orders.ts
@@ -3,7 +3,7 @@
 
 const fence = z.int().nonnegative();
 
-/** What an engine can be told to do. */
+/** Body of `POST /orders`; `fence` is the fencing token, the term of the leader that sent the order. */
 export const engineOrderSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('release-cache'), program: z.string(), fence }),
   z.object({ kind: z.literal('load-model'), model: z.string(), version: z.string(), fence }),
@@ -13,7 +13,7 @@
 ]);
 export type EngineOrder = z.output<typeof engineOrderSchema>;
 
-/** What orders have made of the engine. */
+/** State of the engine that orders change. */
 export interface EngineState {
   readonly model: string;
   readonly version: string;
@@ -21,8 +21,8 @@
   readonly role: 'mixed' | 'prefill' | 'decode';
 }
 
-/** Carries out orders, refusing an old fencing number if it is told to check. */
-export class OrderDesk {
+/** Executes orders; with `checksFencing`, refuses those with an outdated fencing token. */
+export class OrderExecutor {
   readonly #checksFencing: boolean;
   readonly #cache: PrefixCache;
   #highestFence = 0;
@@ -34,8 +34,8 @@
     this.state = { model, version: '1', adapters: [], role: 'mixed' };
   }
 
-  /** Returns whether the order was taken. */
-  take(order: EngineOrder): boolean {
+  /** Returns false if the order was refused. */
+  execute(order: EngineOrder): boolean {
     if (this.#checksFencing && order.fence < this.#highestFence) return false;
     this.#highestFence = Math.max(this.#highestFence, order.fence);
     if (order.kind === 'release-cache') this.#cache.release(order.program);
--- a/stand-ins/engine/server.ts
+++ b/stand-ins/engine/server.ts
@@ -1,14 +1,14 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import * as z from 'zod';
 import { type Clock, type Component, delay } from '../../src/core';
-import { Hold } from '../hold';
+import { PausePoint } from '../hold';
 import { StandInServer, readText, sendJson } from '../http';
 import { EventLog } from './events';
 import { EngineModel, type StepResult } from './model';
-import { OrderDesk, engineOrderSchema } from './orders';
+import { OrderExecutor, engineOrderSchema } from './orders';
 import type { EngineSettings } from './settings';
-import { AnswerStream } from './streams';
-import { answerTo, tokenize } from './text';
+import { CompletionStream } from './streams';
+import { generateCompletion, tokenize } from './text';
 
 const chatSchema = z.looseObject({
   model: z.string(),
@@ -19,28 +19,28 @@
 
 const kvImportSchema = z.object({ owner: z.string(), blocks: z.array(z.string()) });
 
-const DEFAULT_OUTPUT_LIMIT = 64;
+const DEFAULT_MAX_TOKENS = 64;
 
-/** A stand-in for a language-model engine, speaking the OpenAI API's streaming dialect. */
+/** A stand-in for a language-model engine with the streaming chat completions of the OpenAI API. */
 export class EngineServer implements Component {
   readonly #settings: EngineSettings;
   readonly #clock: Clock;
   readonly #server: StandInServer;
   readonly #model: EngineModel;
   readonly #events: EventLog;
-  readonly #orders: OrderDesk;
-  readonly #streams = new Map<string, AnswerStream>();
-  #stepping = false;
-  #breaksLeft: number;
+  readonly #orders: OrderExecutor;
+  readonly #streams = new Map<string, CompletionStream>();
+  #isStepping = false;
+  #remainingBreaks: number;
   #reportedLoad = { running: 0, waiting: 0, at: -Infinity };
-  #calls = 0;
-  readonly #hold: Hold;
+  #callCount = 0;
+  readonly #pausePoint: PausePoint;
 
   constructor(settings: EngineSettings, clock: Clock) {
     this.#settings = settings;
     this.#clock = clock;
-    this.#breaksLeft = settings['break-count'];
-    this.#hold = new Hold(settings['hold-after-tokens']);
+    this.#remainingBreaks = settings['break-count'];
+    this.#pausePoint = new PausePoint(settings['hold-after-tokens']);
     this.#events = new EventLog(
       {
         loseEvery: settings['lose-every-event'],
@@ -60,7 +60,7 @@
         this.#events.add(change);
       },
     });
-    this.#orders = new OrderDesk(settings.model, this.#model.cache, settings['checks-fencing']);
+    this.#orders = new OrderExecutor(settings.model, this.#model.cache, settings['checks-fencing']);
     this.#server = new StandInServer(settings.address, (request, response) =>
       this.#handle(request, response),
     );
@@ -81,18 +81,21 @@
         await this.#chat(request, response);
         return;
       case 'GET /held':
-        await this.#hold.reached;
+        await this.#pausePoint.reached;
         sendJson(response, 200, { held: true });
         return;
       case 'POST /release':
-        this.#hold.release();
+        this.#pausePoint.release();
         sendJson(response, 200, { held: false });
         return;
       case 'GET /load':
-        sendJson(response, 200, this.#load());
+        sendJson(response, 200, this.#readLoad());
         return;
       case 'GET /cache':
-        sendJson(response, 200, { owners: this.#model.cache.listing(), calls: this.#calls });
+        sendJson(response, 200, {
+          owners: this.#model.cache.blockCountsByOwner(),
+          calls: this.#callCount,
+        });
         return;
       case 'GET /cache/events': {
         const after = Number(url.searchParams.get('after') ?? 0);
@@ -101,7 +104,7 @@
       }
       case 'POST /orders': {
         const order = engineOrderSchema.parse(JSON.parse(await readText(request)));
-        const taken = this.#orders.take(order);
+        const taken = this.#orders.execute(order);
         sendJson(response, taken ? 200 : 409, { taken, state: this.#orders.state });
         return;
       }
@@ -139,40 +142,40 @@
   }
 
   async #chat(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    this.#calls += 1;
+    this.#callCount += 1;
     const body = chatSchema.parse(JSON.parse(await readText(request)));
     if (this.#settings.hang) return;
     if (this.#settings['fail-status'] > 0) {
       sendJson(response, this.#settings['fail-status'], { error: 'a fault that was asked for' });
       return;
     }
-    const id = String(request.headers['x-request-id'] ?? `call-${this.#calls}`);
+    const id = String(request.headers['x-request-id'] ?? `call-${this.#callCount}`);
     const text = body.messages.map((message) => JSON.stringify(message)).join('\n');
     const prompt = tokenize(text);
-    const last = JSON.stringify(body.messages.at(-1)?.content ?? '');
-    const output = answerTo(text, last, body.max_tokens ?? DEFAULT_OUTPUT_LIMIT);
-    const breaks = this.#breaksLeft > 0;
-    if (breaks) this.#breaksLeft -= 1;
+    const lastMessage = JSON.stringify(body.messages.at(-1)?.content ?? '');
+    const output = generateCompletion(text, lastMessage, body.max_tokens ?? DEFAULT_MAX_TOKENS);
+    const isBreaking = this.#remainingBreaks > 0;
+    if (isBreaking) this.#remainingBreaks -= 1;
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.flushHeaders();
     const head = { id, model: body.model, promptTokens: prompt.length };
-    this.#streams.set(id, new AnswerStream(head, response, this.#settings, breaks));
+    this.#streams.set(id, new CompletionStream(head, response, this.#settings, isBreaking));
     response.once('close', () => {
-      this.#callerLeft(id);
+      this.#handleDisconnect(id);
     });
     const owner = String(request.headers['martenbay-program'] ?? id);
     this.#model.add({ id, owner, priority: body.priority ?? 0, prompt, output });
-    if (!this.#stepping) void this.#run();
+    if (!this.#isStepping) void this.#run();
   }
 
-  /** The call goes on for as long as it may be resumed. */
-  #callerLeft(id: string): void {
+  /** Cancels the call unless it is resumable; a resumable call runs for `resume-milliseconds`. */
+  #handleDisconnect(id: string): void {
     const stream = this.#streams.get(id);
-    const wait = this.#settings['resume-milliseconds'];
+    const resumeMilliseconds = this.#settings['resume-milliseconds'];
     stream?.detach();
-    if (wait === 0) this.#cancel(id);
+    if (resumeMilliseconds === 0) this.#cancel(id);
     else
-      this.#clock.after(wait, () => {
+      this.#clock.after(resumeMilliseconds, () => {
         this.#cancel(id);
       });
   }
@@ -183,25 +186,25 @@
   }
 
   async #run(): Promise<void> {
-    this.#stepping = true;
-    while (this.#model.busy) {
+    this.#isStepping = true;
+    while (this.#model.isBusy) {
       const result = this.#model.step();
       if (result.milliseconds > 0) await delay(this.#clock, result.milliseconds);
       else await new Promise((resolve) => setImmediate(resolve));
       this.#emit(result);
-      await this.#hold.pass(result.emissions.length);
+      await this.#pausePoint.advance(result.emissions.length);
     }
-    this.#stepping = false;
+    this.#isStepping = false;
   }
 
   #emit(result: StepResult): void {
-    for (const { id, token, last, cachedTokens } of result.emissions) {
-      this.#streams.get(id)?.token(token, last, cachedTokens);
+    for (const { id, token, isLast, cachedTokens } of result.emissions) {
+      this.#streams.get(id)?.sendToken(token, isLast, cachedTokens);
     }
   }
 
-  /** The load as it was some time ago. */
-  #load(): { readonly running: number; readonly waiting: number } {
+  /** The load at its last update, which may be up to `load-lag-milliseconds` ago. */
+  #readLoad(): { readonly running: number; readonly waiting: number } {
     const now = this.#clock.monotonic();
     if (now - this.#reportedLoad.at >= this.#settings['load-lag-milliseconds']) {
       const { running, waiting } = this.#model;
--- a/stand-ins/engine/settings.ts
+++ b/stand-ins/engine/settings.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import { addressSchema } from '../../src/core';
 
-/** Settings of the stand-in engine, each fault with a switch of its own. */
+/** Settings of the stand-in engine; each fault is enabled by its own key. */
 export const engineSettingsSchema = z.strictObject({
   address: addressSchema,
   model: z.string().default('stand-in'),
@@ -11,21 +11,21 @@
   'batch-limit': z.int().positive().default(32),
   'cache-blocks': z.int().positive().default(4096),
   'checks-fencing': z.boolean().default(true),
-  /** Age of the load that is reported. */
+  /** Minimum interval between updates of the reported load. */
   'load-lag-milliseconds': z.int().nonnegative().default(500),
   'event-delay-milliseconds': z.int().nonnegative().default(200),
   'lose-every-event': z.int().nonnegative().default(0),
-  /** Breaks a stream off after so many tokens; 0 for never. */
+  /** Closes the connection of a stream after this many tokens; 0 for never. */
   'break-after-tokens': z.int().nonnegative().default(0),
-  /** How many streams are broken off before the fault ends. */
+  /** Number of streams to which `break-after-tokens` applies. */
   'break-count': z.int().nonnegative().default(0),
-  /** Answers every call with this status; 0 for none. */
+  /** Responds to every call with this status; 0 to disable. */
   'fail-status': z.int().default(0),
-  /** Takes calls and never answers. */
+  /** Accepts calls and never responds. */
   hang: z.boolean().default(false),
-  /** Stands still after so many tokens until `POST /release`; 0 for never. */
+  /** Pauses after this many tokens until `POST /release`; 0 for never. */
   'hold-after-tokens': z.int().nonnegative().default(0),
-  /** How long a stream whose caller left can be resumed. */
+  /** How long a stream can be resumed after its caller disconnected. */
   'resume-milliseconds': z.int().nonnegative().default(0),
 });
 export type EngineSettings = Readonly<z.output<typeof engineSettingsSchema>>;
--- a/stand-ins/engine/streams.ts
+++ b/stand-ins/engine/streams.ts
@@ -1,52 +1,52 @@
 import type { ServerResponse } from 'node:http';
 import type { EngineSettings } from './settings';
 
-/** What a stream tells of its call. */
+/** Fields of the call that every chunk or the usage repeats. */
 export interface StreamHead {
   readonly id: string;
   readonly model: string;
   readonly promptTokens: number;
 }
 
-/** Unix time in seconds that every stand-in answer carries, so that sessions are repeatable. */
-const CREATED = 1_700_000_000;
+/** Fixed creation time of all chunks, so that sessions are reproducible. */
+const CREATED_UNIX_SECONDS = 1_700_000_000;
 
-/** One answer under way: what was emitted, and the connection that reads it, if any. */
-export class AnswerStream {
+/** Server-sent events of one completion, kept for resumption, and the connection that reads them. */
+export class CompletionStream {
   readonly head: StreamHead;
   readonly #events: string[] = [];
-  #tokens = 0;
+  #tokenCount = 0;
   #response: ServerResponse | undefined;
-  #ended = false;
-  readonly #breakAfter: number;
+  #isEnded = false;
+  readonly #breakAfterTokens: number;
 
   constructor(
     head: StreamHead,
     response: ServerResponse,
     settings: EngineSettings,
-    breaks: boolean,
+    isBreaking: boolean,
   ) {
     this.head = head;
     this.#response = response;
-    this.#breakAfter = breaks ? settings['break-after-tokens'] : 0;
+    this.#breakAfterTokens = isBreaking ? settings['break-after-tokens'] : 0;
   }
 
-  /** Sends one token, and breaks the connection off after it if that fault is asked for. */
-  token(text: string, last: boolean, cachedTokens: number): void {
-    this.#tokens += 1;
+  /** Sends one token; closes the connection after it if `break-after-tokens` is reached. */
+  sendToken(text: string, isLast: boolean, cachedTokens: number): void {
+    this.#tokenCount += 1;
     this.#send(this.#chunk([{ index: 0, delta: { content: text }, finish_reason: null }]));
-    if (this.#tokens === this.#breakAfter) {
+    if (this.#tokenCount === this.#breakAfterTokens) {
       this.#response?.socket?.destroySoon();
       this.#response = undefined;
     }
-    if (last) this.#finish(cachedTokens);
+    if (isLast) this.#finish(cachedTokens);
   }
 
-  /** Continues on another connection after the first `after` events. */
+  /** Continues on a new connection, after the first `after` events. */
   resume(response: ServerResponse, after: number): void {
     this.#response = response;
     for (const event of this.#events.slice(after)) response.write(event);
-    if (this.#ended) response.end();
+    if (this.#isEnded) response.end();
   }
 
   detach(): void {
@@ -58,20 +58,20 @@
     this.#send(this.#chunk([{ index: 0, delta: {}, finish_reason: 'stop' }]));
     const usage = {
       prompt_tokens: promptTokens,
-      completion_tokens: this.#tokens,
-      total_tokens: promptTokens + this.#tokens,
+      completion_tokens: this.#tokenCount,
+      total_tokens: promptTokens + this.#tokenCount,
       prompt_tokens_details: { cached_tokens: cachedTokens },
     };
     this.#send(this.#chunk([], { usage }));
     this.#sendText('data: [DONE]\n\n');
-    this.#ended = true;
+    this.#isEnded = true;
     this.#response?.end();
   }
 
   #chunk(choices: readonly unknown[], extra: object = {}): object {
     const { id, model } = this.head;
     const object = 'chat.completion.chunk';
-    return { id, object, created: CREATED, model, choices, ...extra };
+    return { id, object, created: CREATED_UNIX_SECONDS, model, choices, ...extra };
   }
 
   #send(value: object): void {
--- a/stand-ins/engine/text.ts
+++ b/stand-ins/engine/text.ts
@@ -1,36 +1,42 @@
 import { digestText } from '../../src/core';
 
-/** Characters to one token of the stand-in's vocabulary. */
-const TOKEN_CHARACTERS = 4;
+const CHARACTERS_PER_TOKEN = 4;
 
-/** Splits text into the stand-in's tokens. */
 export function tokenize(text: string): readonly string[] {
   const tokens: string[] = [];
-  for (let at = 0; at < text.length; at += TOKEN_CHARACTERS) {
-    tokens.push(text.slice(at, at + TOKEN_CHARACTERS));
+  for (let start = 0; start < text.length; start += CHARACTERS_PER_TOKEN) {
+    tokens.push(text.slice(start, start + CHARACTERS_PER_TOKEN));
   }
   return tokens;
 }
 
-const WORDS = [
+const VOCABULARY = [
   ...['seat', 'window', 'aisle', 'bag', 'flight', 'gate', 'album', 'spread', 'caption', 'print'],
   ...['order', 'change', 'time', 'page', 'first', 'row', 'two', 'the', 'and', 'with'],
 ] as const;
 
-const SHORTEST_ANSWER = 6;
-const ANSWER_SPREAD = 12;
+const MIN_COMPLETION_TOKENS = 6;
+const DEFAULT_LENGTH_VARIANTS = 12;
 
 /**
- * The answer to a prompt: always the same one for the same prompt. `[tokens=N]` in the prompt's
- * last message sets its length.
+ * Generates the tokens of a completion, deterministically for each prompt. `[tokens=N]` in the last
+ * message sets their number.
  */
-export function answerTo(prompt: string, lastMessage: string, limit: number): readonly string[] {
+export function generateCompletion(
+  prompt: string,
+  lastMessage: string,
+  maxTokens: number,
+): readonly string[] {
   const digest = Buffer.from(digestText(prompt), 'hex');
-  const asked = /\[tokens=(\d+)\]/.exec(lastMessage)?.[1];
-  const own = SHORTEST_ANSWER + ((digest[0] ?? 0) % ANSWER_SPREAD);
-  const length = Math.max(1, Math.min(limit, asked === undefined ? own : Number(asked)));
+  const requestedTokens = /\[tokens=(\d+)\]/.exec(lastMessage)?.[1];
+  const defaultTokens = MIN_COMPLETION_TOKENS + ((digest[0] ?? 0) % DEFAULT_LENGTH_VARIANTS);
+  const length = Math.max(
+    1,
+    Math.min(maxTokens, requestedTokens === undefined ? defaultTokens : Number(requestedTokens)),
+  );
   return Array.from({ length }, (_, index) => {
-    const word = WORDS[((digest[index % digest.length] ?? 0) + index) % WORDS.length] ?? '';
+    const word =
+      VOCABULARY[((digest[index % digest.length] ?? 0) + index) % VOCABULARY.length] ?? '';
     return index === 0 ? word : ` ${word}`;
   });
 }
--- a/stand-ins/hold.ts
+++ b/stand-ins/hold.ts
@@ -1,32 +1,32 @@
-/** Lets a stand-in stand still at some point, so that a test can act in the middle of a call. */
-export class Hold {
+/** Pauses a stand-in at a given point, so that a test can act in the middle of a call. */
+export class PausePoint {
   readonly reached: Promise<void>;
   readonly #released: Promise<void>;
-  readonly #after: number;
-  #reach: () => void = () => undefined;
-  #release: () => void = () => undefined;
+  readonly #pauseAfter: number;
+  #resolveReached: () => void = () => undefined;
+  #resolveReleased: () => void = () => undefined;
   #count = 0;
 
-  /** @param after tokens or calls after which to stand still; 0 for never */
-  constructor(after: number) {
-    this.#after = after;
+  /** @param pauseAfter tokens or calls until the pause; 0 for none */
+  constructor(pauseAfter: number) {
+    this.#pauseAfter = pauseAfter;
     this.reached = new Promise((resolve) => {
-      this.#reach = resolve;
+      this.#resolveReached = resolve;
     });
     this.#released = new Promise((resolve) => {
-      this.#release = resolve;
+      this.#resolveReleased = resolve;
     });
   }
 
-  /** Counts; resolves at once, or at the release if it is time to stand still. */
-  async pass(count: number): Promise<void> {
+  /** Adds to the count; resolves at once, or at the release once the count has been reached. */
+  async advance(count: number): Promise<void> {
     this.#count += count;
-    if (this.#after === 0 || this.#count < this.#after) return;
-    this.#reach();
+    if (this.#pauseAfter === 0 || this.#count < this.#pauseAfter) return;
+    this.#resolveReached();
     await this.#released;
   }
 
   release(): void {
-    this.#release();
+    this.#resolveReleased();
   }
 }
--- a/stand-ins/hosts.ts
+++ b/stand-ins/hosts.ts
@@ -6,7 +6,7 @@
 export const hostsSettingsSchema = z.strictObject({
   address: addressSchema,
   hosts: z.array(z.string()).default([]),
-  /** Age of the list that is shown. */
+  /** Delay until a change appears in the list. */
   'lag-milliseconds': z.int().nonnegative().default(2000),
 });
 export type HostsSettings = Readonly<z.output<typeof hostsSettingsSchema>>;
@@ -14,16 +14,16 @@
 const changeSchema = z.object({ host: z.string(), state: z.enum(['live', 'leaving', 'gone']) });
 type HostChange = z.output<typeof changeSchema>;
 
-/** A stand-in for the platform's list of live and leaving hosts, which lags behind the truth. */
+/** A stand-in for the platform's list of hosts, in which changes appear after a delay. */
 export class HostList implements Component {
   readonly #server: StandInServer;
   readonly #clock: Clock;
-  readonly #lag: number;
+  readonly #lagMilliseconds: number;
   readonly #changes: { readonly at: number; readonly change: HostChange }[];
 
   constructor(settings: HostsSettings, clock: Clock) {
     this.#clock = clock;
-    this.#lag = settings['lag-milliseconds'];
+    this.#lagMilliseconds = settings['lag-milliseconds'];
     this.#changes = settings.hosts.map((host) => ({
       at: -Infinity,
       change: { host, state: 'live' },
@@ -33,7 +33,7 @@
         const change = changeSchema.parse(JSON.parse(await readText(request)));
         this.#changes.push({ at: this.#clock.monotonic(), change });
       }
-      sendJson(response, 200, { hosts: this.#shown() });
+      sendJson(response, 200, { hosts: this.#visibleHosts() });
     });
   }
 
@@ -45,12 +45,12 @@
     return this.#server.stop();
   }
 
-  #shown(): readonly HostChange[] {
-    const newest = new Map<string, HostChange>();
-    const visible = this.#clock.monotonic() - this.#lag;
+  #visibleHosts(): readonly HostChange[] {
+    const latest = new Map<string, HostChange>();
+    const visibleUntil = this.#clock.monotonic() - this.#lagMilliseconds;
     for (const { at, change } of this.#changes) {
-      if (at <= visible) newest.set(change.host, change);
+      if (at <= visibleUntil) latest.set(change.host, change);
     }
-    return [...newest.values()].filter(({ state }) => state !== 'gone');
+    return [...latest.values()].filter(({ state }) => state !== 'gone');
   }
 }
--- a/stand-ins/http.ts
+++ b/stand-ins/http.ts
@@ -2,7 +2,6 @@
 import { createServer } from 'node:http';
 import type { Address, Component } from '../src/core';
 
-/** Reads a request's whole body. */
 export async function readText(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   for await (const chunk of request as AsyncIterable<Buffer>) chunks.push(chunk);
@@ -13,7 +12,7 @@
   response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(value));
 }
 
-/** An HTTP server of a stand-in; stopping it drops its connections. */
+/** HTTP server of a stand-in; `stop()` closes its open connections. */
 export class StandInServer implements Component {
   readonly #server: Server;
   readonly #address: Address;
--- a/stand-ins/main.ts
+++ b/stand-ins/main.ts
@@ -13,47 +13,47 @@
   weightsSettingsSchema,
 } from './index';
 
-interface Kind {
+interface StandInKind {
   readonly name: string;
   readonly description: string;
   readonly create: (file: string, clock: Clock) => Component;
 }
 
-function kind<Schema extends z.ZodType>(
+function defineKind<Schema extends z.ZodType>(
   name: string,
   description: string,
   schema: Schema,
   create: (settings: z.output<Schema>, clock: Clock) => Component,
-): Kind {
+): StandInKind {
   return { name, description, create: (file, clock) => create(loadSettings(schema, file), clock) };
 }
 
-const KINDS: readonly Kind[] = [
-  kind(
+const STAND_IN_KINDS: readonly StandInKind[] = [
+  defineKind(
     'engine',
     'a language-model engine',
     engineSettingsSchema,
     (settings, clock) => new EngineServer(settings, clock),
   ),
-  kind(
+  defineKind(
     'service',
     'a plain service that counts executions',
     plainSettingsSchema,
     (settings, clock) => new PlainServer(settings, clock),
   ),
-  kind(
+  defineKind(
     'tool',
     'a tool service',
     plainSettingsSchema,
     (settings, clock) => new PlainServer(settings, clock),
   ),
-  kind(
+  defineKind(
     'weights',
     'the rate-limited weight store',
     weightsSettingsSchema,
     (settings, clock) => new WeightStore(settings, clock),
   ),
-  kind(
+  defineKind(
     'hosts',
     "the platform's lagging list of hosts",
     hostsSettingsSchema,
@@ -64,7 +64,7 @@
 const program = new Command('stand-ins').description(
   'Stand-ins for outside systems, for trials and tests.',
 );
-for (const { name, description, create } of KINDS) {
+for (const { name, description, create } of STAND_IN_KINDS) {
   program
     .command(name)
     .description(description)
--- a/stand-ins/tests/engine.test.ts
+++ b/stand-ins/tests/engine.test.ts
@@ -24,16 +24,16 @@
   }
 
   async function send(method: 'GET' | 'POST' | 'DELETE', path: string, body?: object) {
-    const answer = await request(`${url}${path}`, {
+    const response = await request(`${url}${path}`, {
       method,
       body: body === undefined ? null : JSON.stringify(body),
     });
-    const value = (await answer.body.json()) as Readonly<Record<string, unknown>>;
-    return { status: answer.statusCode, value };
+    const value = (await response.body.json()) as Readonly<Record<string, unknown>>;
+    return { status: response.statusCode, value };
   }
 
   async function chat(id: string, owner = 'p-1'): Promise<string> {
-    const answer = await request(`${url}/v1/chat/completions`, {
+    const response = await request(`${url}/v1/chat/completions`, {
       method: 'POST',
       headers: { 'x-request-id': id, 'martenbay-program': owner },
       body: JSON.stringify({
@@ -41,11 +41,11 @@
         messages: [{ role: 'user', content: `A long question for a seat. ${'x'.repeat(200)}` }],
       }),
     });
-    return answer.body.text();
+    return response.body.text();
   }
 
   describe('its cache', () => {
-    it('holds what it has worked on, and lets an order release it', async () => {
+    it('holds the blocks of processed prompts until an order releases them', async () => {
       await start();
       const first = await chat('a');
       const second = await chat('b');
@@ -56,7 +56,7 @@
       expect((await send('GET', '/cache')).value).toMatchObject({ owners: {} });
     });
 
-    it('tells of changes late, numbered and with gaps', async () => {
+    it('publishes changes after a delay, numbered, with gaps for lost events', async () => {
       await start({ 'event-delay-milliseconds': 200, 'lose-every-event': 2 });
       await chat('a');
       expect((await send('GET', '/cache/events?after=0')).value).toEqual({ events: [] });
@@ -67,7 +67,7 @@
       expect(events.map((event) => event.number)).toEqual([1, 3]);
     });
 
-    it('moves to another owner by export and import', async () => {
+    it('transfers blocks to another owner by export and import', async () => {
       await start();
       await chat('a');
       const { value } = await send('POST', '/kv/export', { owner: 'p-1' });
@@ -77,7 +77,7 @@
   });
 
   describe('its orders', () => {
-    it('are refused from an old leader if it checks', async () => {
+    it('are refused with an outdated fencing token if checks-fencing is on', async () => {
       await start();
       const order = (fence: number) =>
         send('POST', '/orders', { kind: 'load-adapter', adapter: 'captions', fence });
@@ -85,12 +85,12 @@
       expect(await order(4)).toMatchObject({ status: 409 });
     });
 
-    it('are taken from anyone if it does not', async () => {
+    it('are executed with an outdated fencing token if checks-fencing is off', async () => {
       await start({ 'checks-fencing': false });
-      const become = (role: string, fence: number) =>
+      const setRole = (role: string, fence: number) =>
         send('POST', '/orders', { kind: 'set-role', role, fence });
-      await become('prefill', 5);
-      expect(await become('decode', 4)).toMatchObject({
+      await setRole('prefill', 5);
+      expect(await setRole('decode', 4)).toMatchObject({
         status: 200,
         value: { state: { role: 'decode' } },
       });
@@ -98,21 +98,21 @@
   });
 
   describe('its load', () => {
-    it('is as old as its lag', async () => {
+    it('is reported with the configured lag', async () => {
       await start({ 'load-lag-milliseconds': 500, 'hold-after-tokens': 2 });
       expect((await send('GET', '/load')).value).toEqual({ running: 0, waiting: 0 });
-      const answer = chat('a');
+      const response = chat('a');
       await send('GET', '/held');
       expect((await send('GET', '/load')).value).toEqual({ running: 0, waiting: 0 });
       clock.advance(500);
       expect((await send('GET', '/load')).value).toEqual({ running: 1, waiting: 0 });
       await send('POST', '/release');
-      await answer;
+      await response;
     });
   });
 
   describe('its streams', () => {
-    it('can be resumed after a break, from any event', async () => {
+    it('can be resumed from a given event after the connection was closed', async () => {
       await start({
         'break-after-tokens': 3,
         'break-count': 1,
@@ -126,16 +126,16 @@
       expect(text).toContain('[DONE]');
     });
 
-    it('can be cancelled', async () => {
+    it('can be cancelled once', async () => {
       await start({ 'hold-after-tokens': 2 });
-      const answer = chat('a').catch(() => 'cut off');
+      const response = chat('a').catch(() => 'cut off');
       await send('GET', '/held');
       expect(await send('DELETE', '/streams/a')).toMatchObject({ status: 200 });
       expect(await send('DELETE', '/streams/a')).toMatchObject({ status: 404 });
       clock.advance(500);
       expect((await send('GET', '/load')).value).toMatchObject({ running: 0 });
       await engine.stop();
-      expect(await answer).toBe('cut off');
+      expect(await response).toBe('cut off');
     });
   });
 });
--- a/stand-ins/tests/platform.test.ts
+++ b/stand-ins/tests/platform.test.ts
@@ -20,14 +20,14 @@
   });
 
   async function send(path: string, body?: object) {
-    const answer = await request(`http://${address}${path}`, {
+    const response = await request(`http://${address}${path}`, {
       method: body === undefined ? 'GET' : 'POST',
       body: body === undefined ? null : JSON.stringify(body),
     });
-    return { status: answer.statusCode, value: await answer.body.json() };
+    return { status: response.statusCode, value: await response.body.json() };
   }
 
-  it('give out weights at a limited rate', async () => {
+  it('serve weights at a limited rate', async () => {
     const settings = weightsSettingsSchema.parse({ address, 'downloads-per-second': 2 });
     server = new WeightStore(settings, clock);
     await server.start?.();
@@ -37,7 +37,7 @@
     expect(await send('/weights/agent')).toMatchObject({ status: 200 });
   });
 
-  it('list the hosts as they were some time ago', async () => {
+  it('list a change of a host only after the configured lag', async () => {
     const settings = hostsSettingsSchema.parse({ address, hosts: ['a'], 'lag-milliseconds': 100 });
     server = new HostList(settings, clock);
     await server.start?.();
--- a/stand-ins/weights.ts
+++ b/stand-ins/weights.ts
@@ -5,12 +5,11 @@
 /** Settings of the stand-in weight store. */
 export const weightsSettingsSchema = z.strictObject({
   address: addressSchema,
-  /** Downloads that may begin in one second. */
   'downloads-per-second': z.number().positive().default(2),
 });
 export type WeightsSettings = Readonly<z.output<typeof weightsSettingsSchema>>;
 
-/** A stand-in for the store of model weights: `GET /weights/{name}`, at a limited rate. */
+/** A stand-in for the store of model weights; responds 429 to `GET /weights/{name}` above its rate. */
 export class WeightStore implements Component {
   readonly #server: StandInServer;
 
