--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,45 +1,46 @@
-// Bundles each binary into one file under dist/, so that a process loads nothing it does not use.
+// Bundles each binary into one file, so that a process loads only the modules it uses.
 import { readFileSync } from 'node:fs';
 import { chmod, rm } from 'node:fs/promises';
 import { build } from 'esbuild';
 
 const { version } = JSON.parse(readFileSync('package.json', 'utf8'));
 
-// Heap limits of the small processes; docs/FOOTPRINT.md has the measurement.
-const SMALL = '--max-semi-space-size=1 --max-old-space-size=48 --v8-pool-size=0 --no-opt';
+// Node.js flags that limit memory, for the process that runs beside every target.
+const SMALL_HEAP_FLAGS =
+  '--max-semi-space-size=1 --max-old-space-size=48 --v8-pool-size=0 --no-opt';
 
 const BINARIES = [
   { name: 'martenbay', entry: 'src/binary/operator.ts' },
   { name: 'martenbay-entry', entry: 'src/binary/entry.ts' },
   { name: 'martenbay-control', entry: 'src/binary/control.ts' },
-  { name: 'martenbay-sidecar', entry: 'src/binary/sidecar.ts', flags: SMALL },
+  { name: 'martenbay-sidecar', entry: 'src/binary/sidecar.ts', flags: SMALL_HEAP_FLAGS },
   { name: 'martenbay-local', entry: 'src/binary/local.ts' },
   { name: 'stand-ins', entry: 'stand-ins/main.ts' },
   { name: 'separate', entry: 'scripts/separate/main.ts' },
   { name: 'bench', entry: 'bench/main.ts' },
 ];
 
-/** The programs that run on the users' platform. */
+/** Binaries that run on the users' platform. */
 const PLATFORM_BINARIES = [
   { name: 'platform-gateway', entry: 'platform/gateway.ts' },
   { name: 'platform-store', entry: 'platform/store.ts' },
 ];
 
 /**
- * Leaves HTTP/2 out of a bundle; undici goes without it where it can't be loaded. Purpose: a process that
- * starts again serves sooner. Loading it took 11 of 136 ms of processor time until a gateway served.
+ * Excludes node:http2 from a bundle, for a shorter start-up. undici works without it if loading it
+ * fails.
  */
 const withoutHttp2 = {
   name: 'without-http2',
   setup({ onResolve, onLoad }) {
     onResolve({ filter: /^node:http2$/ }, ({ path }) => ({ path, namespace: 'left-out' }));
     onLoad({ filter: /.*/, namespace: 'left-out' }, ({ path }) => ({
-      contents: `throw new Error('${path} is left out of this program')`,
+      contents: `throw new Error('${path} is excluded from this bundle')`,
     }));
   },
 };
 
-// Without a folder every program goes to dist/; `target` gets those of the platform alone.
+// The default folder dist/ gets all binaries, any other one only those of the platform.
 const folder = process.argv[2] ?? 'dist';
 const binaries = folder === 'dist' ? [...BINARIES, ...PLATFORM_BINARIES] : PLATFORM_BINARIES;
 
--- a/scripts/separate/child.ts
+++ b/scripts/separate/child.ts
@@ -1,20 +1,20 @@
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
 
-/** One JSON line of a process's log. */
+/** A JSON log line of a process; other output has the event `text`. */
 export type LogLine = Readonly<Record<string, unknown>>;
 
-/** A process of the system, started by a script or a test. */
+/** A child process of the system, with its log lines and standard error. */
 export class Child {
   readonly name: string;
   readonly #process: ChildProcess;
   readonly #lines: LogLine[] = [];
   readonly #errors: string[] = [];
-  readonly #waiting: {
+  readonly #waiters: {
     readonly matches: (line: LogLine) => boolean;
-    readonly wake: (line: LogLine) => void;
+    readonly resolve: (line: LogLine) => void;
   }[] = [];
-  /** Resolves once everything that the process wrote was read. */
+  /** Resolves once the process has ended and its output was read. */
   readonly closed: Promise<void>;
   /** Resolves with the exit code, or the signal's name. */
   readonly exited: Promise<number | string>;
@@ -25,7 +25,7 @@
     this.#process.stderr?.on('data', (chunk: Buffer) => this.#errors.push(chunk.toString()));
     if (this.#process.stdout !== null) {
       createInterface({ input: this.#process.stdout }).on('line', (text) => {
-        this.#take(text);
+        this.#readLine(text);
       });
     }
     this.closed = new Promise((resolve) => {
@@ -44,12 +44,11 @@
     return this.#process.pid ?? 0;
   }
 
-  /** All log lines so far. */
   get lines(): readonly LogLine[] {
     return this.#lines;
   }
 
-  /** What the process wrote to standard error. */
+  /** Standard error so far. */
   get errors(): string {
     return this.#errors.join('');
   }
@@ -58,19 +57,19 @@
     this.#process.kill(signal);
   }
 
-  /** Resolves with a log line that matches, past ones included; rejects if the process ends first. */
+  /** Resolves with the first matching log line, which may be an earlier one; rejects at the exit. */
   async logged(matches: (line: LogLine) => boolean): Promise<LogLine> {
-    const past = this.#lines.find(matches);
-    if (past !== undefined) return past;
-    const seen = new Promise<LogLine>((resolve) => {
-      this.#waiting.push({ matches, wake: resolve });
+    const earlier = this.#lines.find(matches);
+    if (earlier !== undefined) return earlier;
+    const matching = new Promise<LogLine>((resolve) => {
+      this.#waiters.push({ matches, resolve });
     });
-    const ended = await Promise.race([seen, this.exited]);
-    if (typeof ended === 'object') return ended;
-    throw new Error(`${this.name} ended (${ended}): ${this.errors}`);
+    const result = await Promise.race([matching, this.exited]);
+    if (typeof result === 'object') return result;
+    throw new Error(`${this.name} exited before the expected log line (${result}): ${this.errors}`);
   }
 
-  #take(text: string): void {
+  #readLine(text: string): void {
     let line: LogLine;
     try {
       line = JSON.parse(text) as LogLine;
@@ -78,6 +77,6 @@
       line = { event: 'text', text };
     }
     this.#lines.push(line);
-    for (const waiting of this.#waiting) if (waiting.matches(line)) waiting.wake(line);
+    for (const waiter of this.#waiters) if (waiter.matches(line)) waiter.resolve(line);
   }
 }
--- a/scripts/separate/layout.ts
+++ b/scripts/separate/layout.ts
@@ -4,36 +4,36 @@
 import { type Address, formatAddress } from '../../src/core';
 import { type LocalTarget, findFreeAddresses, localFiles } from '../../src/local';
 
-/** What a system of separate processes is made of. */
+/** Number and settings of the processes of a system. */
 export interface LayoutOptions {
   readonly folder: string;
   readonly controls?: number;
   readonly entries?: number;
   readonly engines?: number;
   readonly plain?: number;
-  /** Groups that programs are spread over; the settings' default unless given. */
+  /** Number of groups that store programs; defaults to that of the settings. */
   readonly programGroups?: number;
-  /** Regions of the control hosts, in turn; all in one unless given. */
+  /** Regions to which the control hosts are assigned in rotation; none by default. */
   readonly regions?: readonly string[];
-  /** Where the control hosts read the platform's list of hosts. */
+  /** Address from which the control hosts read the platform's list of hosts. */
   readonly hostList?: string;
-  /** Further keys of the stand-in engines' settings. */
+  /** Additional settings of the stand-in engines. */
   readonly engineSettings?: Readonly<Record<string, number | string | boolean>>;
-  /** Further keys of the stand-in services' settings. */
+  /** Additional settings of the stand-in services. */
   readonly plainSettings?: Readonly<Record<string, number | string | boolean>>;
   readonly controlSettings?: Readonly<Record<string, number>>;
   readonly sidecarSettings?: Readonly<Record<string, number>>;
   readonly entrySettings?: Readonly<Record<string, number | string>>;
 }
 
-/** A process and the files that it is started with. */
+/** Command line of a process. */
 export interface ProcessPlan {
   readonly name: string;
   readonly binary: string;
   readonly arguments: readonly string[];
 }
 
-/** A system laid out: its settings are written, and nothing runs yet. */
+/** Processes and addresses of a system whose settings files are written. */
 export interface Layout {
   readonly standIns: readonly ProcessPlan[];
   readonly controls: readonly ProcessPlan[];
@@ -45,47 +45,46 @@
   readonly processCredential: string;
   /** Data folder of each control host, in the order of the members. */
   readonly dataFolders: readonly string[];
-  /** Directory of the operators' files. */
+  /** Directory of the configuration files. */
   readonly configuration: string;
-  /** Settings of the operators' command line. */
+  /** Settings file of the operator command. */
   readonly operatorSettings: string;
 }
 
 const PROCESS_CREDENTIAL = 'separate-process-credential';
 export const OPERATOR_CREDENTIAL = 'separate-operator-credential';
 
-/** Stands for an address that the search for free ones always gives. */
-const UNUSED: Address = { host: '127.0.0.1', port: 1 };
+/** Satisfies the type; every index is within the addresses found. */
+const PLACEHOLDER_ADDRESS: Address = { host: '127.0.0.1', port: 1 };
 
-const ZONES = ['zone-a', 'zone-b'] as const;
+const AVAILABILITY_ZONES = ['zone-a', 'zone-b'] as const;
 
-interface PlacedTarget extends LocalTarget {
+interface TypedTarget extends LocalTarget {
   readonly type: 'engine' | 'plain';
 }
 
-/** Where everything listens. */
-interface Places {
+interface ListenAddresses {
   readonly controlMembers: Layout['controlMembers'];
   readonly entryAddresses: readonly Address[];
-  readonly targets: readonly PlacedTarget[];
+  readonly targets: readonly TypedTarget[];
 }
 
-type Content = Readonly<Record<string, unknown>>;
+type SettingsContent = Readonly<Record<string, unknown>>;
 
-/** Chooses free addresses, each kind of process on a loopback address of its own. */
-export async function layOut(options: LayoutOptions): Promise<Layout> {
+/** Assigns free loopback addresses, and writes the settings and configuration files. */
+export async function createLayout(options: LayoutOptions): Promise<Layout> {
   const configuration = join(options.folder, 'configuration');
   await mkdir(configuration, { recursive: true });
-  const places = await choosePlaces(options);
+  const listenAddresses = await assignAddresses(options);
   const files = localFiles({
-    engines: places.targets.filter((target) => target.type === 'engine'),
-    plain: places.targets.filter((target) => target.type === 'plain'),
+    engines: listenAddresses.targets.filter((target) => target.type === 'engine'),
+    plain: listenAddresses.targets.filter((target) => target.type === 'plain'),
   });
   for (const { name, text } of files) await writeFile(join(configuration, name), text);
-  const writer = new SettingsWriter(options, places);
+  const writer = new SettingsWriter(options, listenAddresses);
   return {
-    ...places,
-    dataFolders: places.controlMembers.map(({ name }) => dataFolder(options, name)),
+    ...listenAddresses,
+    dataFolders: listenAddresses.controlMembers.map(({ name }) => dataFolder(options, name)),
     processCredential: PROCESS_CREDENTIAL,
     configuration,
     operatorSettings: await writer.operator(),
@@ -96,11 +95,11 @@
   };
 }
 
-async function choosePlaces(options: LayoutOptions): Promise<Places> {
+async function assignAddresses(options: LayoutOptions): Promise<ListenAddresses> {
   const { controls = 3, entries = 2, engines = 2, plain = 1 } = options;
   const targetNames = [
-    ...numbered('engine', engines).map((name) => ({ name, type: 'engine' as const })),
-    ...numbered('check-in', plain).map((name) => ({ name, type: 'plain' as const })),
+    ...numberedNames('engine', engines).map((name) => ({ name, type: 'engine' as const })),
+    ...numberedNames('check-in', plain).map((name) => ({ name, type: 'plain' as const })),
   ];
   const addresses = await findFreeAddresses([
     ...loopbackHosts(10, controls),
@@ -108,42 +107,42 @@
     ...loopbackHosts(30, targetNames.length),
     ...loopbackHosts(30, targetNames.length),
   ]);
-  const take = (from: number, index: number) => addresses[from + index] ?? UNUSED;
+  const addressAt = (from: number, index: number) => addresses[from + index] ?? PLACEHOLDER_ADDRESS;
   const sidecarsFrom = controls + entries;
   return {
-    controlMembers: numbered('control', controls).map((name, index) => ({
+    controlMembers: numberedNames('control', controls).map((name, index) => ({
       name,
-      address: take(0, index),
+      address: addressAt(0, index),
     })),
     entryAddresses: addresses.slice(controls, sidecarsFrom),
     targets: targetNames.map((target, index) => ({
       ...target,
-      availabilityZone: zoneOf(index),
-      sidecar: take(sidecarsFrom, index),
-      address: take(sidecarsFrom + targetNames.length, index),
+      availabilityZone: availabilityZoneOf(index),
+      sidecar: addressAt(sidecarsFrom, index),
+      address: addressAt(sidecarsFrom + targetNames.length, index),
     })),
   };
 }
 
-/** Writes the settings files and plans the processes that read them. */
+/** Writes the settings files of the processes. */
 class SettingsWriter {
   readonly #options: LayoutOptions;
-  readonly #places: Places;
-  readonly #cluster: Content;
+  readonly #listenAddresses: ListenAddresses;
+  readonly #cluster: SettingsContent;
 
-  constructor(options: LayoutOptions, places: Places) {
+  constructor(options: LayoutOptions, listenAddresses: ListenAddresses) {
     const { programGroups } = options;
     this.#options = options;
-    this.#places = places;
+    this.#listenAddresses = listenAddresses;
     this.#cluster = {
-      control: this.#controlList,
+      control: this.#controlMemberSettings,
       'process-credential': PROCESS_CREDENTIAL,
       ...(programGroups === undefined ? {} : { 'program-groups': programGroups }),
     };
   }
 
   operator(): Promise<string> {
-    const control = this.#places.controlMembers.map(({ name, address }) => ({
+    const control = this.#listenAddresses.controlMembers.map(({ name, address }) => ({
       name,
       address: formatAddress(address),
     }));
@@ -153,9 +152,9 @@
 
   standIns(): Promise<readonly ProcessPlan[]> {
     const { engineSettings, plainSettings } = this.#options;
-    const plans = this.#places.targets.map(({ name, type, address }) => {
-      const own = type === 'engine' ? engineSettings : { name: 'check-in', ...plainSettings };
-      const content = { address: formatAddress(address), ...own };
+    const plans = this.#listenAddresses.targets.map(({ name, type, address }) => {
+      const settings = type === 'engine' ? engineSettings : { name: 'check-in', ...plainSettings };
+      const content = { address: formatAddress(address), ...settings };
       const command = type === 'engine' ? 'engine' : 'service';
       return this.#plan(`stand-in-${name}`, 'stand-ins', content, [command]);
     });
@@ -164,9 +163,9 @@
 
   controls(): Promise<readonly ProcessPlan[]> {
     const { hostList } = this.#options;
-    const plans = this.#places.controlMembers.map(({ name, address }, index) =>
+    const plans = this.#listenAddresses.controlMembers.map(({ name, address }, index) =>
       this.#plan(name, 'martenbay-control', {
-        host: describeHost(name, zoneOf(index), address),
+        host: hostSettings(name, availabilityZoneOf(index), address),
         cluster: this.#cluster,
         control: {
           'data-folder': dataFolder(this.#options, name),
@@ -180,24 +179,25 @@
   }
 
   sidecars(): Promise<readonly ProcessPlan[]> {
-    const plans = this.#places.targets.map(({ name, availabilityZone, sidecar, address }) =>
-      this.#plan(`sidecar-${name}`, 'martenbay-sidecar', {
-        host: describeHost(`sidecar-${name}`, availabilityZone, sidecar),
-        cluster: this.#cluster,
-        sidecar: {
-          target: name,
-          'target-address': formatAddress(address),
-          ...this.#options.sidecarSettings,
-        },
-      }),
+    const plans = this.#listenAddresses.targets.map(
+      ({ name, availabilityZone, sidecar, address }) =>
+        this.#plan(`sidecar-${name}`, 'martenbay-sidecar', {
+          host: hostSettings(`sidecar-${name}`, availabilityZone, sidecar),
+          cluster: this.#cluster,
+          sidecar: {
+            target: name,
+            'target-address': formatAddress(address),
+            ...this.#options.sidecarSettings,
+          },
+        }),
     );
     return Promise.all(plans);
   }
 
   entries(): Promise<readonly ProcessPlan[]> {
-    const plans = this.#places.entryAddresses.map((address, index) =>
+    const plans = this.#listenAddresses.entryAddresses.map((address, index) =>
       this.#plan(`entry-${index + 1}`, 'martenbay-entry', {
-        host: describeHost(`entry-${index + 1}`, zoneOf(index), address),
+        host: hostSettings(`entry-${index + 1}`, availabilityZoneOf(index), address),
         cluster: this.#cluster,
         entry: this.#options.entrySettings ?? {},
       }),
@@ -205,9 +205,9 @@
     return Promise.all(plans);
   }
 
-  get #controlList(): readonly Content[] {
+  get #controlMemberSettings(): readonly SettingsContent[] {
     const { regions = [] } = this.#options;
-    return this.#places.controlMembers.map(({ name, address }, index) => ({
+    return this.#listenAddresses.controlMembers.map(({ name, address }, index) => ({
       name,
       address: formatAddress(address),
       ...(regions.length === 0 ? {} : { region: regions[index % regions.length] }),
@@ -217,14 +217,14 @@
   async #plan(
     name: string,
     binary: string,
-    content: Content,
+    content: SettingsContent,
     command: readonly string[] = [],
   ): Promise<ProcessPlan> {
     const file = await this.#write(name, content);
     return { name, binary, arguments: [...command, '--settings', file] };
   }
 
-  async #write(name: string, content: Content): Promise<string> {
+  async #write(name: string, content: SettingsContent): Promise<string> {
     const file = join(this.#options.folder, `${name}.toml`);
     await writeFile(file, stringify(content));
     return file;
@@ -235,18 +235,18 @@
   return join(folder, `data-${name}`);
 }
 
-function describeHost(name: string, zone: string, address: Address): Content {
+function hostSettings(name: string, zone: string, address: Address): SettingsContent {
   return { name, 'availability-zone': zone, address: formatAddress(address) };
 }
 
-function zoneOf(index: number): string {
-  return ZONES[index % ZONES.length] ?? 'zone-a';
+function availabilityZoneOf(index: number): string {
+  return AVAILABILITY_ZONES[index % AVAILABILITY_ZONES.length] ?? 'zone-a';
 }
 
 function loopbackHosts(first: number, count: number): readonly string[] {
   return Array.from({ length: count }, (_, index) => `127.0.0.${first + index}`);
 }
 
-function numbered(prefix: string, count: number): readonly string[] {
+function numberedNames(prefix: string, count: number): readonly string[] {
   return Array.from({ length: count }, (_, index) => `${prefix}-${index + 1}`);
 }
--- a/scripts/separate/main.ts
+++ b/scripts/separate/main.ts
@@ -1,5 +1,5 @@
-// Starts a whole system as separate processes, runs a session over it, and stops it.
-// With --keep it goes on serving until it is stopped. See README.md.
+// Starts a system as separate processes, runs a session over it, and stops it.
+// With --keep it serves until SIGINT or SIGTERM. See README.md.
 import { LOCAL_KEY, runSession } from '../../src/local';
 import { SeparateSystem } from './system';
 
--- a/scripts/separate/system.ts
+++ b/scripts/separate/system.ts
@@ -11,15 +11,15 @@
   type LayoutOptions,
   OPERATOR_CREDENTIAL,
   type ProcessPlan,
-  layOut,
+  createLayout,
 } from './layout';
 
-const DIST = resolve('dist');
+const DIST_DIRECTORY = resolve('dist');
 
-/** Pause between two looks at a process that has no event to wait for; milliseconds. */
-const LOOK_MILLISECONDS = 20;
+/** Interval of polls for conditions that no log line reports. */
+const POLL_INTERVAL_MILLISECONDS = 20;
 
-/** A whole system as separate processes on loopback addresses. */
+/** A complete system of separate processes on loopback addresses. */
 export class SeparateSystem {
   readonly layout: Layout;
   readonly #folder: string;
@@ -31,10 +31,10 @@
     this.layout = layout;
   }
 
-  /** Starts everything, applies the configuration, and waits until all of it is in force. */
+  /** Starts all processes, applies the configuration, and waits until all targets are serving. */
   static async start(options: Omit<LayoutOptions, 'folder'> = {}): Promise<SeparateSystem> {
     const folder = await mkdtemp(join(tmpdir(), 'martenbay-separate-'));
-    const system = new SeparateSystem(folder, await layOut({ folder, ...options }));
+    const system = new SeparateSystem(folder, await createLayout({ folder, ...options }));
     const { standIns, controls, sidecars, entries } = system.layout;
     await system.#launchAll([...standIns, ...controls]);
     await system.apply();
@@ -47,7 +47,7 @@
     return this.layout.entryAddresses.map((address) => `http://${formatAddress(address)}`);
   }
 
-  /** Base URLs of every process of martenbay's own. */
+  /** Base URLs of all processes except the stand-ins. */
   get ownAddresses(): readonly string[] {
     const { controlMembers, entryAddresses, targets } = this.layout;
     const addresses = [
@@ -64,34 +64,35 @@
 
   child(name: string): Child {
     const child = this.#children.get(name);
-    if (child === undefined) throw new Error(`No process ${name}`);
+    if (child === undefined) throw new Error(`no process of the system is named ${name}`);
     return child;
   }
 
-  /** Starts a process again that has ended. */
+  /** Restarts a process that has exited. */
   async restart(name: string): Promise<void> {
     const { standIns, controls, sidecars, entries } = this.layout;
     const plan = [...standIns, ...controls, ...sidecars, ...entries].find(
       (entry) => entry.name === name,
     );
-    if (plan === undefined) throw new Error(`No process ${name}`);
+    if (plan === undefined) throw new Error(`no process of the system is named ${name}`);
     await this.#launch(plan);
   }
 
-  /** Applies the operators' directory with the operators' command line. */
+  /** Applies the configuration directory with the operator command. */
   async apply(): Promise<void> {
     const { configuration, operatorSettings } = this.layout;
     const child = this.command('apply', configuration, '--settings', operatorSettings);
     const code = await child.exited;
-    if (code !== 0) throw new Error(`apply ended with ${code}: ${child.errors}`);
+    if (code !== 0)
+      throw new Error(`martenbay apply: expected exit code 0, got ${code}: ${child.errors}`);
   }
 
-  /** Runs the operators' command line. */
-  command(...words: readonly string[]): Child {
-    return new Child('martenbay', join(DIST, 'martenbay.cjs'), words);
+  /** Runs the operator command `martenbay`. */
+  command(...commandArguments: readonly string[]): Child {
+    return new Child('martenbay', join(DIST_DIRECTORY, 'martenbay.cjs'), commandArguments);
   }
 
-  /** Status as the leader tells it. */
+  /** Status reported by the leader. */
   async status(): Promise<Status> {
     const client = new ControlClient({
       members: this.layout.controlMembers,
@@ -107,24 +108,24 @@
     }
   }
 
-  /** A group with its leader. */
+  /** Rejects if the group has no leader. */
   async group(name: string): Promise<GroupStatus & { readonly leader: string }> {
     const { groups } = await this.status();
     const group = groups.find((entry) => entry.group === name);
-    if (group?.leader === undefined) throw new Error(`No leader of ${name}`);
+    if (group?.leader === undefined) throw new Error(`no leader for group ${name}`);
     return { ...group, leader: group.leader };
   }
 
-  /** The group that holds a program. */
+  /** The group that stores a program. */
   groupOf(program: string): Promise<GroupStatus & { readonly leader: string }> {
     return this.group(groupOfProgram(program) ?? '');
   }
 
-  /** Resolves once every entry has the configuration and knows every target as serving. */
+  /** Resolves once every entry has a configuration and reports this number of serving targets. */
   async settled(targets = this.layout.targets.length): Promise<void> {
     for (const url of this.entryUrls) {
       await this.until(async () => {
-        const metrics = await readPage(`${url}/metrics`);
+        const metrics = await fetchText(`${url}/metrics`);
         return (
           metrics.includes(`targets_serving ${targets}\n`) &&
           !metrics.includes('configuration_number 0\n')
@@ -133,19 +134,19 @@
     }
   }
 
-  /** Looks again and again until something holds. */
+  /** Polls until the condition holds. */
   async until(holds: () => Promise<boolean>): Promise<void> {
-    while (!(await holds())) await delay(this.#clock, LOOK_MILLISECONDS);
+    while (!(await holds())) await delay(this.#clock, POLL_INTERVAL_MILLISECONDS);
   }
 
-  /** Stops every process as an operator would; returns their exit codes by name. */
+  /** Sends SIGTERM to all processes; returns their exit codes or signals by name. */
   async stop(): Promise<Readonly<Record<string, number | string>>> {
     const { standIns, controls, sidecars, entries } = this.layout;
     const codes: Record<string, number | string> = {};
     for (const group of [entries, sidecars, controls, standIns]) {
       const children = group.map((plan) => this.child(plan.name));
       for (const child of children) {
-        // A test that failed may have left it frozen.
+        // A failed test may have left the process suspended.
         child.signal('SIGCONT');
         child.signal('SIGTERM');
       }
@@ -160,13 +161,13 @@
   }
 
   async #launch(plan: ProcessPlan): Promise<void> {
-    const child = new Child(plan.name, join(DIST, `${plan.binary}.cjs`), plan.arguments);
+    const child = new Child(plan.name, join(DIST_DIRECTORY, `${plan.binary}.cjs`), plan.arguments);
     this.#children.set(plan.name, child);
     await child.logged((line) => line['event'] === 'started');
   }
 }
 
-async function readPage(url: string): Promise<string> {
-  const answer = await request(url);
-  return answer.body.text();
+async function fetchText(url: string): Promise<string> {
+  const response = await request(url);
+  return response.body.text();
 }
