--- a/bench/fan-out.ts
+++ b/bench/fan-out.ts
@@ -1,7 +1,7 @@
 import { readFile, readdir } from 'node:fs/promises';
 import { join } from 'node:path';
 import { OPERATOR_CREDENTIAL } from '../scripts/separate/layout';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { type SourceFile, digestFiles } from '../src/configuration';
 import { type Component, SystemClock, createSilentLogger, delay } from '../src/core';
 import { ControlClient, ControlSession } from '../src/protocol';
@@ -20,7 +20,7 @@
 
 /** Time from an operator's apply until a change is in force at every one of many processes. */
 export async function benchFanOut(sizes: readonly number[], changes: number): Promise<object> {
-  const system = await SeparateSystem.start({ entries: 1, engines: 1, programGroups: 1 });
+  const system = await MultiProcessSystem.start({ entries: 1, engines: 1, programGroups: 1 });
   const results: object[] = [];
   let number = 1;
   for (const nodes of sizes) {
@@ -51,7 +51,7 @@
   return { changes, results };
 }
 
-function connect(system: SeparateSystem, index: number, onAdopted: () => void): Node {
+function connect(system: MultiProcessSystem, index: number, onAdopted: () => void): Node {
   const clock = new SystemClock();
   const logger = createSilentLogger();
   const node = { number: 0 };
@@ -90,8 +90,8 @@
 }
 
 /** Applies the system's own files under another number. */
-async function apply(system: SeparateSystem, number: number): Promise<void> {
-  const directory = system.layout.configuration;
+async function apply(system: MultiProcessSystem, number: number): Promise<void> {
+  const directory = system.layout.configurationDirectory;
   const files: SourceFile[] = [];
   for (const name of (await readdir(directory)).sort()) {
     const text = await readFile(join(directory, name), 'utf8');
--- a/bench/footprint.ts
+++ b/bench/footprint.ts
@@ -1,6 +1,6 @@
 import { Agent, request } from 'undici';
-import type { Child } from '../scripts/separate/child';
-import { SeparateSystem } from '../scripts/separate/system';
+import type { SystemProcess } from '../scripts/separate/system-process';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { SystemClock, delay } from '../src/core';
 import { LOCAL_KEY } from '../src/local';
 import { printLine, round, runAtOnce } from './figures';
@@ -16,7 +16,7 @@
 
 /** Memory, processor share and bytes a second of each role, idle and under load. */
 export async function benchFootprint(programGroups: number): Promise<void> {
-  const system = await SeparateSystem.start({ programGroups });
+  const system = await MultiProcessSystem.start({ programGroups });
   const idle = await observe(system, () => delay(new SystemClock(), WINDOW_MILLISECONDS));
   const agent = new Agent({ connections: AT_ONCE });
   let calls = 0;
@@ -36,7 +36,7 @@
 }
 
 /** What each of martenbay's processes used while something went on. */
-async function observe(system: SeparateSystem, during: () => Promise<void>): Promise<object> {
+async function observe(system: MultiProcessSystem, during: () => Promise<void>): Promise<object> {
   const children = system.children.filter((child) => /^(entry|control|sidecar)/.test(child.name));
   const before = new Map(children.map((child) => [child.name, read(child)]));
   const started = performance.now();
@@ -58,7 +58,7 @@
   );
 }
 
-function read(child: Child): Reading {
+function read(child: SystemProcess): Reading {
   return { processor: processorSeconds(child.pid), bytes: transferredBytes(child.pid) };
 }
 
--- a/bench/groups.ts
+++ b/bench/groups.ts
@@ -1,4 +1,4 @@
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { SystemClock, delay } from '../src/core';
 import { round } from './figures';
 import { processorSeconds, residentMegabytes, transferredBytes } from './processes';
@@ -14,7 +14,7 @@
 }
 
 async function measure(programGroups: number): Promise<object> {
-  const system = await SeparateSystem.start({ entries: 1, engines: 1, programGroups });
+  const system = await MultiProcessSystem.start({ entries: 1, engines: 1, programGroups });
   const clock = new SystemClock();
   await delay(clock, SETTLE_MILLISECONDS);
   const children = system.children.filter((child) => child.name.startsWith('control'));
--- a/bench/nodes.ts
+++ b/bench/nodes.ts
@@ -1,4 +1,4 @@
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { type Component, SystemClock, createSilentLogger, delay } from '../src/core';
 import { ControlClient, ControlSession } from '../src/protocol';
 import { printLine, round } from './figures';
@@ -10,7 +10,7 @@
 
 /** What one control host spends on the processes that are connected to it. */
 export async function benchNodes(sizes: readonly number[]): Promise<void> {
-  const system = await SeparateSystem.start({ controls: 1, entries: 1, engines: 1 });
+  const system = await MultiProcessSystem.start({ controls: 1, entries: 1, engines: 1 });
   const { pid } = system.child('control-1');
   const results: object[] = [];
   for (const nodes of sizes) {
@@ -35,7 +35,7 @@
 }
 
 /** Connects processes that only send heartbeats and wait for changes, as sidecars do. */
-async function connect(system: SeparateSystem, count: number): Promise<readonly Component[]> {
+async function connect(system: MultiProcessSystem, count: number): Promise<readonly Component[]> {
   const clock = new SystemClock();
   const logger = createSilentLogger();
   const parts: Component[] = [];
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,5 +1,5 @@
 import { Agent, request } from 'undici';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { formatAddress } from '../src/core';
 import { INSTANT_ENGINE, LOCAL_KEY } from '../src/local';
 import { Latencies, printLine, round, runAtOnce } from './figures';
@@ -65,7 +65,7 @@
 /** Latency through martenbay beside that of the stand-in alone, in one run. */
 export async function benchPath(options: PathOptions): Promise<void> {
   const { calls } = options;
-  const system = await SeparateSystem.start({
+  const system = await MultiProcessSystem.start({
     entries: options.entries,
     engines: options.entries,
     programGroups: options.groups,
@@ -85,7 +85,7 @@
 }
 
 async function measure(
-  system: SeparateSystem,
+  system: MultiProcessSystem,
   agent: Agent,
   kind: CallKind,
   atOnce: number,
@@ -128,7 +128,7 @@
 }
 
 /** Processor time of martenbay's own processes, without the stand-ins. */
-function ownSeconds(system: SeparateSystem): number {
+function ownSeconds(system: MultiProcessSystem): number {
   return system.children
     .filter((child) => !child.name.startsWith('stand-in'))
     .reduce((sum, child) => sum + processorSeconds(child.pid), 0);
--- a/scripts/separate/main.ts
+++ b/scripts/separate/main.ts
@@ -1,10 +1,10 @@
-// Starts a whole system as separate processes, runs a session over it, and stops it.
-// With --keep it goes on serving until it is stopped. See README.md.
+// Starts a system as separate processes, runs a session over it, and stops it.
+// With --keep it serves until SIGINT or SIGTERM. See README.md.
 import { LOCAL_KEY, runSession } from '../../src/local';
-import { SeparateSystem } from './system';
+import { MultiProcessSystem } from './system';
 
 async function main(): Promise<void> {
-  const system = await SeparateSystem.start();
+  const system = await MultiProcessSystem.start();
   await runSession({
     entries: system.entryUrls,
     key: LOCAL_KEY,
@@ -13,7 +13,7 @@
   if (process.argv.includes('--keep')) {
     const { entryUrls, layout } = system;
     process.stdout.write(
-      `serving at ${entryUrls.join(' and ')}, key ${LOCAL_KEY}; operators' settings: ${layout.operatorSettings}\n`,
+      `serving at ${entryUrls.join(' and ')}, key ${LOCAL_KEY}; operators' settings: ${layout.operatorSettingsFile}\n`,
     );
     await new Promise((resolve) => {
       process.once('SIGINT', resolve);
--- a/tests/disk-failures.test.ts
+++ b/tests/disk-failures.test.ts
@@ -1,20 +1,20 @@
 import { readFile, readdir, rm, stat, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { INSTANT_ENGINE } from '../src/local';
-import type { LogLine } from '../scripts/separate/child';
-import { SeparateSystem } from '../scripts/separate/system';
+import type { LogLine } from '../scripts/separate/system-process';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { Caller } from './caller';
 
 /** A byte in the first text of a file of histories. */
 const FLIPPED_BYTE = 60;
 
 describe('control hosts whose disks fail', () => {
-  let system: SeparateSystem;
+  let system: MultiProcessSystem;
   let caller: Caller;
   let program: string;
 
   beforeEach(async () => {
-    system = await SeparateSystem.start({
+    system = await MultiProcessSystem.start({
       engineSettings: INSTANT_ENGINE,
       entries: 1,
       controlSettings: { 'history-cache-megabytes': 0 },
@@ -51,7 +51,7 @@
     const { groups } = await system.status();
     for (const { group } of groups) {
       const votes = (line: LogLine) => line['votes'] === true && line['group'] === group;
-      await system.child(name).logged(votes);
+      await system.child(name).waitForLog(votes);
     }
   }
 
@@ -82,7 +82,7 @@
       await restartUntilVoter(name);
       const told = await system
         .child(name)
-        .logged((line) => line['event'] === 'storage-quarantined');
+        .waitForLog((line) => line['event'] === 'storage-quarantined');
       expect(told).toMatchObject({ level: 'error', movedTo: `${log}.damaged-1` });
       expect(String(told['error'])).toContain('damaged at byte 8');
       expect(await readdir(folderOf(name))).toContain(`${group}.damaged-1`);
--- a/tests/host-list.test.ts
+++ b/tests/host-list.test.ts
@@ -1,12 +1,12 @@
 import { request } from 'undici';
 import { SystemClock, formatAddress } from '../src/core';
 import { INSTANT_ENGINE, findFreeAddresses } from '../src/local';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { HostList, hostsSettingsSchema } from '../stand-ins';
 import { Caller } from './caller';
 
 describe("the platform's list of hosts", () => {
-  let system: SeparateSystem;
+  let system: MultiProcessSystem;
   let list: HostList;
   let url: string;
 
@@ -19,7 +19,7 @@
     const settings = hostsSettingsSchema.parse({ address, hosts, 'lag-milliseconds': 0 });
     list = new HostList(settings, new SystemClock());
     await list.start();
-    system = await SeparateSystem.start({
+    system = await MultiProcessSystem.start({
       engineSettings: INSTANT_ENGINE,
       entries: 1,
       hostList: address,
@@ -38,7 +38,7 @@
 
   it('takes a leaving target out of use while its sidecar serves, and brings it back', async () => {
     await tell('engine-1', 'leaving');
-    await system.settled(system.layout.targets.length - 1);
+    await system.untilTargetsServing(system.layout.targets.length - 1);
     const caller = new Caller(system.entryUrls[0] ?? '');
     for (let count = 0; count < 4; count += 1) {
       const program = await caller.createProgram();
@@ -48,6 +48,6 @@
     const chosen = new Set(decisions.map((line) => line['choice']));
     expect([...chosen]).toEqual(['engine-2']);
     await tell('engine-1', 'live');
-    await system.settled();
+    await system.untilTargetsServing();
   });
 });
--- a/tests/operator-command.test.ts
+++ b/tests/operator-command.test.ts
@@ -1,17 +1,17 @@
 import { cp, readFile, rm, writeFile } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { Normalizer } from './normalizer';
 
 /** Digests cover the addresses, which differ from run to run. */
 const DIGEST = /\b[0-9a-f]{12,64}\b/g;
 
 describe("the operators' command line", () => {
-  let system: SeparateSystem;
+  let system: MultiProcessSystem;
   const session: string[] = [];
 
   beforeAll(async () => {
-    system = await SeparateSystem.start({ engines: 1 });
+    system = await MultiProcessSystem.start({ engines: 1 });
   });
 
   afterAll(async () => {
@@ -27,7 +27,7 @@
       const { text } = line;
       return typeof text === 'string' ? text : JSON.stringify(line);
     });
-    const folder = dirname(system.layout.configuration);
+    const folder = dirname(system.layout.configurationDirectory);
     const text = [...output, child.errors].join('\n').trim().replaceAll(`${folder}/`, '');
     const shown = words.map((word) => word.split('/').at(-1)).join(' ');
     session.push(`$ martenbay ${shown}  (exit ${code})`);
@@ -36,9 +36,9 @@
 
   /** A copy of the directory with one text replaced by another. */
   async function variant(name: string, from: string, to: string): Promise<string> {
-    const directory = `${system.layout.configuration}-${name}`;
+    const directory = `${system.layout.configurationDirectory}-${name}`;
     await rm(directory, { recursive: true, force: true });
-    await cp(system.layout.configuration, directory, { recursive: true });
+    await cp(system.layout.configurationDirectory, directory, { recursive: true });
     for (const file of ['places.toml', 'programs.toml']) {
       const path = join(directory, file);
       await writeFile(path, (await readFile(path, 'utf8')).replaceAll(from, to));
@@ -47,7 +47,8 @@
   }
 
   it('applies as a whole, settles races, and reads back what is in force', async () => {
-    const { configuration, operatorSettings } = system.layout;
+    const { configurationDirectory: configuration, operatorSettingsFile: operatorSettings } =
+      system.layout;
     const settings = ['--settings', operatorSettings];
     const second = await variant('second', 'number = 1', 'number = 2');
     const loser = await variant('loser', 'number = 1', 'number = 2 # another');
--- a/tests/planned-stop.test.ts
+++ b/tests/planned-stop.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici';
 import { formatAddress } from '../src/core';
 import { INSTANT_ENGINE, LOCAL_KEY } from '../src/local';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 
 /** The engine stands still after this many tokens of the one stream of a test. */
 const HELD_TOKENS = 5;
@@ -15,7 +15,7 @@
 const PROMPT = [{ role: 'user' as const, content: 'Which gate? [tokens=40]' }];
 
 /** A streamed turn that the engine holds in its middle until it is released. */
-async function startHeldTurn(system: SeparateSystem) {
+async function startHeldTurn(system: MultiProcessSystem) {
   const client = new OpenAI({ baseURL: `${system.entryUrls[0] ?? ''}/v1`, apiKey: LOCAL_KEY });
   const stream = await client.chat.completions.create({
     model: 'stand-in',
@@ -43,10 +43,10 @@
 }
 
 describe('a planned stop in the middle of a stream', () => {
-  let system: SeparateSystem;
+  let system: MultiProcessSystem;
 
   beforeEach(async () => {
-    system = await SeparateSystem.start({ engineSettings: ENGINE, programGroups: 1 });
+    system = await MultiProcessSystem.start({ engineSettings: ENGINE, programGroups: 1 });
   });
 
   afterEach(async () => {
@@ -57,7 +57,7 @@
     const turn = await startHeldTurn(system);
     const child = system.child(name);
     child.signal('SIGTERM');
-    await child.logged((line) => line['event'] === 'stopping');
+    await child.waitForLog((line) => line['event'] === 'stopping');
     await turn.release();
     expect(await turn.read()).toEqual({ words: 40, reason: 'stop' });
     expect(await child.exited).toBe(0);
--- a/tests/process-failures.test.ts
+++ b/tests/process-failures.test.ts
@@ -1,7 +1,7 @@
 import { request } from 'undici';
 import { formatAddress } from '../src/core';
 import { INSTANT_ENGINE } from '../src/local';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { Caller, contentOf } from './caller';
 
 /** Less than the longest time for which a leader holds a call that waits. */
@@ -15,7 +15,7 @@
 };
 
 describe('processes that fail', () => {
-  let system: SeparateSystem;
+  let system: MultiProcessSystem;
 
   afterEach(async () => {
     await system.stop();
@@ -40,7 +40,7 @@
 
   describe('an entry killed in the middle of a turn', () => {
     it('is replaced by another, with the history whole and one answer', async () => {
-      system = await SeparateSystem.start({
+      system = await MultiProcessSystem.start({
         ...SHORT_SESSIONS,
         engineSettings: { ...INSTANT_ENGINE, 'hold-after-tokens': 20 },
       });
@@ -64,7 +64,7 @@
 
   describe('an entry killed while a call that may not be repeated runs', () => {
     it('leaves the answer to the resend, and the call runs once', async () => {
-      system = await SeparateSystem.start({
+      system = await MultiProcessSystem.start({
         ...SHORT_SESSIONS,
         plainSettings: { 'hold-from-call': 1 },
       });
@@ -88,7 +88,7 @@
 
   describe('the leading control host killed', () => {
     it('is replaced, and a program goes on with nothing lost', async () => {
-      system = await SeparateSystem.start({ engineSettings: INSTANT_ENGINE });
+      system = await MultiProcessSystem.start({ engineSettings: INSTANT_ENGINE });
       const [first, second] = callers();
       const program = await first.createProgram();
       expect(await first.turn(program, 1, 'One.')).toMatchObject({ status: 200 });
@@ -109,7 +109,7 @@
 
   describe('the leading control host frozen past its lease', () => {
     it('changes nothing when it wakes', async () => {
-      system = await SeparateSystem.start({ engineSettings: INSTANT_ENGINE });
+      system = await MultiProcessSystem.start({ engineSettings: INSTANT_ENGINE });
       const [first, second] = callers();
       const program = await first.createProgram();
       const { leader, term } = await system.groupOf(program);
@@ -127,15 +127,18 @@
 
   describe('a sidecar killed', () => {
     it('gets no call once its session is over, and is back after its restart', async () => {
-      system = await SeparateSystem.start({ ...SHORT_SESSIONS, engineSettings: INSTANT_ENGINE });
+      system = await MultiProcessSystem.start({
+        ...SHORT_SESSIONS,
+        engineSettings: INSTANT_ENGINE,
+      });
       const [first] = callers();
       await kill('sidecar-engine-1');
       expect(await first.turn(await first.createProgram(), 1, 'One.')).toMatchObject({
         status: 200,
       });
-      await system.settled(system.layout.targets.length - 1);
+      await system.untilTargetsServing(system.layout.targets.length - 1);
       await system.restart('sidecar-engine-1');
-      await system.settled();
+      await system.untilTargetsServing();
     });
   });
 });
--- a/tests/regions.test.ts
+++ b/tests/regions.test.ts
@@ -1,13 +1,13 @@
 import { INSTANT_ENGINE } from '../src/local';
-import { SeparateSystem } from '../scripts/separate/system';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { Caller } from './caller';
 
 describe('regions, each with a control host of its own', () => {
-  let system: SeparateSystem;
+  let system: MultiProcessSystem;
   let caller: Caller;
 
   beforeAll(async () => {
-    system = await SeparateSystem.start({
+    system = await MultiProcessSystem.start({
       engineSettings: INSTANT_ENGINE,
       entries: 1,
       regions: ['local', 'near', 'far'],
--- a/tests/separate-session.test.ts
+++ b/tests/separate-session.test.ts
@@ -1,7 +1,7 @@
 import { request } from 'undici';
 import { INSTANT_ENGINE, LOCAL_KEY, runSession } from '../src/local';
-import type { LogLine } from '../scripts/separate/child';
-import { SeparateSystem } from '../scripts/separate/system';
+import type { LogLine } from '../scripts/separate/system-process';
+import { MultiProcessSystem } from '../scripts/separate/system';
 import { Normalizer } from './normalizer';
 
 /** Loads are read so seldom that none is read while a call runs. */
@@ -20,7 +20,7 @@
 
 describe('a session over separate processes', () => {
   it('is the same on every run, each call at another entry than the one before', async () => {
-    const system = await SeparateSystem.start({
+    const system = await MultiProcessSystem.start({
       engineSettings: INSTANT_ENGINE,
       sidecarSettings: LOADS_NEVER_READ,
     });
@@ -33,7 +33,7 @@
         session.push(normalizer.normalize(line));
       },
     });
-    const pages = await Promise.all(system.ownAddresses.map(readHealth));
+    const pages = await Promise.all(system.ownUrls.map(readHealth));
     const exitCodes = await system.stop();
     const decisions = system.children
       .filter((child) => child.name.startsWith('entry'))
