--- a/bench/ablation/run.ts
+++ b/bench/ablation/run.ts
@@ -10,18 +10,18 @@
 import { join, resolve } from 'node:path';
 import { promisify } from 'node:util';
 import * as z from 'zod';
-import { type SwitchSet, USUAL, pickSets, settingsOf } from './sets';
-import { type PlayedDay, formatRows, rowsOf } from './table';
+import { type SwitchSet, DEFAULT_SET, selectSets, formatSettings } from './sets';
+import { type DayResult, formatRows, buildRows } from './table';
 
 const execute = promisify(execFile);
 
-/** Output of one played day that is kept while it runs; bytes. */
-const OUTPUT_BYTES = 64 * 1024 * 1024;
+/** Limit of the captured output of one run; bytes. */
+const MAX_OUTPUT_BYTES = 64 * 1024 * 1024;
 
-/** The template from which each process gets its settings. */
-const TEMPLATE = 'deploy/settings.toml.template';
+/** Settings template of the processes that a run starts. */
+const SETTINGS_TEMPLATE = 'deploy/settings.toml.template';
 
-/** The part of a played day's report that the table rests on; `G` is its worth. */
+/** The fields of the player's report that are used; `G` is the score of the day. */
 const reportSchema = z.object({
   G: z.number(),
   fault: z.string().nullish(),
@@ -29,89 +29,93 @@
 });
 
 export interface AblationOptions {
-  /** Program that plays a day; it runs in a checkout of its own for each set. */
+  /** Path of the program that runs a day; called in the checkout of the set. */
   readonly player: string;
+  /** Path of the deployment whose days are run. */
   readonly site: string;
-  /** Folder that takes the checkouts; those that are there are used again. */
+  /** Folder of the checkouts, one for each set; existing ones are reused. */
   readonly workspace: string;
   readonly days: readonly string[];
   readonly seeds: readonly string[];
-  /** Names of sets; all if there are none. */
+  /** Names of sets; empty for all. */
   readonly sets: readonly string[];
+  /** Whether the reduced variants of the days are run. */
   readonly small: boolean;
-  /** Days that are played at a time. */
+  /** Number of concurrent runs. */
   readonly jobs: number;
-  /** Reason that goes into the journal with the name of the set. */
+  /** Reason for the run, written to each journal entry. */
   readonly why: string;
 }
 
-/** One day that is to be played with one set. */
-interface Play {
+/** One day to run with one set and seed. */
+interface DayRun {
   readonly set: SwitchSet;
   readonly day: string;
   readonly seed: string;
 }
 
-/** Plays days with mechanisms switched off one by one, and prints what each is worth. */
+/** Runs days with one decision mechanism disabled at a time and prints the score differences. */
 export async function benchAblation(options: AblationOptions): Promise<void> {
-  const sets = pickSets(options.sets);
+  const sets = selectSets(options.sets);
   for (const set of sets) await prepareCheckout(options, set);
-  const plays = options.seeds.flatMap((seed) =>
+  const runs = options.seeds.flatMap((seed) =>
     options.days.flatMap((day) => sets.map((set) => ({ set, day, seed }))),
   );
-  const days = await playAll(options, plays);
-  for (const set of sets) bringJournal(checkoutOf(options, set));
-  process.stdout.write(`${formatRows(rowsOf(days, USUAL.name))}\n`);
+  const results = await runAll(options, runs);
+  for (const set of sets) copyJournalEntries(checkoutFolderOf(options, set));
+  process.stdout.write(`${formatRows(buildRows(results, DEFAULT_SET.name))}\n`);
 }
 
-function checkoutOf({ workspace }: AblationOptions, set: SwitchSet): string {
+function checkoutFolderOf({ workspace }: AblationOptions, set: SwitchSet): string {
   return resolve(workspace, set.name);
 }
 
-/** A clone of what is committed here, with the set in the template of the settings. */
+/** Clones the committed state, installs and builds it with the switches of the set. */
 async function prepareCheckout(options: AblationOptions, set: SwitchSet): Promise<void> {
-  const folder = checkoutOf(options, set);
+  const folder = checkoutFolderOf(options, set);
   if (existsSync(folder)) return;
   mkdirSync(resolve(options.workspace), { recursive: true });
   await execute('git', ['clone', '--quiet', process.cwd(), folder]);
   await execute('npm', ['ci', '--no-audit', '--no-fund'], { cwd: folder });
-  appendFileSync(join(folder, TEMPLATE), settingsOf(set));
+  appendFileSync(join(folder, SETTINGS_TEMPLATE), formatSettings(set));
   await execute(resolve(options.player), ['build'], { cwd: folder });
 }
 
-async function playAll(
+async function runAll(
   options: AblationOptions,
-  plays: readonly Play[],
-): Promise<readonly PlayedDay[]> {
-  const days: PlayedDay[] = [];
-  const left = [...plays];
-  const work = async () => {
-    for (let play = left.shift(); play !== undefined; play = left.shift()) {
-      const day = await playDay(options, play);
-      days.push(day);
-      process.stderr.write(`${JSON.stringify(day)}\n`);
+  runs: readonly DayRun[],
+): Promise<readonly DayResult[]> {
+  const results: DayResult[] = [];
+  const remaining = [...runs];
+  const worker = async () => {
+    for (let run = remaining.shift(); run !== undefined; run = remaining.shift()) {
+      const result = await runDay(options, run);
+      results.push(result);
+      process.stderr.write(`${JSON.stringify(result)}\n`);
     }
   };
-  await Promise.all(Array.from({ length: options.jobs }, work));
-  return plays.flatMap(({ set, day, seed }) =>
-    days.filter((one) => one.set === set.name && one.day === day && one.seed === seed),
+  await Promise.all(Array.from({ length: options.jobs }, worker));
+  return runs.flatMap(({ set, day, seed }) =>
+    results.filter(
+      (result) => result.set === set.name && result.day === day && result.seed === seed,
+    ),
   );
 }
 
-async function playDay(options: AblationOptions, { set, day, seed }: Play): Promise<PlayedDay> {
-  const cwd = checkoutOf(options, set);
+async function runDay(options: AblationOptions, { set, day, seed }: DayRun): Promise<DayResult> {
+  const cwd = checkoutFolderOf(options, set);
   const report = join(resolve(options.workspace), `${set.name}-${day}-${seed}.json`);
-  const why = `${options.why}: ${set.name}, ${day}, seed ${seed}`;
-  const size = options.small ? ['--small'] : [];
-  const parameters = ['run', resolve(options.site), day, '--seed', seed, ...size];
+  const reason = `${options.why}: ${set.name}, ${day}, seed ${seed}`;
+  const sizeOptions = options.small ? ['--small'] : [];
+  const runArguments = ['run', resolve(options.site), day, '--seed', seed, ...sizeOptions];
   try {
-    const ways = ['--report', report, '--why', why];
-    await execute(resolve(options.player), [...parameters, ...ways], {
+    const reportOptions = ['--report', report, '--why', reason];
+    await execute(resolve(options.player), [...runArguments, ...reportOptions], {
       cwd,
-      maxBuffer: OUTPUT_BYTES,
+      maxBuffer: MAX_OUTPUT_BYTES,
     });
   } catch (error) {
-    // A day with a broken rule ends with an error, too; its report tells which.
+    // The player also fails if a rule was violated; then its report exists and names the rule.
     if (!existsSync(report)) {
       return { set: set.name, day, seed, worth: undefined, failures: [String(error)] };
     }
@@ -121,11 +125,11 @@
   return { set: set.name, day, seed, worth: G, failures };
 }
 
-/** Brings the entries that a checkout's days have left into the journal here. */
-function bringJournal(folder: string): void {
+/** Copies the journal entries of a checkout to the journal of this repository. */
+function copyJournalEntries(folder: string): void {
   for (const name of readdirSync(join(folder, 'journal'))) {
-    const here = join('journal', name);
-    if (!name.endsWith('.json') || existsSync(here)) continue;
-    copyFileSync(join(folder, 'journal', name), here);
+    const destination = join('journal', name);
+    if (!name.endsWith('.json') || existsSync(destination)) continue;
+    copyFileSync(join(folder, 'journal', name), destination);
   }
 }
--- a/bench/ablation/sets.ts
+++ b/bench/ablation/sets.ts
@@ -1,15 +1,15 @@
 import { ALL_DECISIONS, type DecisionSwitches, PLACEMENT_POLICIES } from '../../src/decisions';
 
-/** Mechanisms that are switched off together, or a policy that takes the place of the usual one. */
+/** Decision switches that differ from the defaults in one run. */
 export interface SwitchSet {
   readonly name: string;
   readonly switches: Partial<DecisionSwitches>;
 }
 
-/** The set with which the others are compared. */
-export const USUAL: SwitchSet = { name: 'usual', switches: {} };
+/** The baseline of the comparison: all defaults. */
+export const DEFAULT_SET: SwitchSet = { name: 'usual', switches: {} };
 
-/** Everything in use, each mechanism off by itself, and the policies that stand for comparison. */
+/** The defaults, one set for each disabled mechanism, and one for each baseline policy. */
 export function allSets(): readonly SwitchSet[] {
   const [, ...baselines] = PLACEMENT_POLICIES;
   const mechanisms = Object.entries(ALL_DECISIONS).flatMap(([name, value]) =>
@@ -19,26 +19,26 @@
     name: policy,
     switches: { 'placement-policy': policy },
   }));
-  return [USUAL, ...mechanisms, ...policies];
+  return [DEFAULT_SET, ...mechanisms, ...policies];
 }
 
-/** Sets by name, the usual one always first; fails at a name that no set has. */
-export function pickSets(names: readonly string[]): readonly SwitchSet[] {
+/** Sets by name, after the default one. @throws Error if a name is unknown */
+export function selectSets(names: readonly string[]): readonly SwitchSet[] {
   const all = allSets();
   if (names.length === 0) return all;
-  const picked = names
-    .filter((name) => name !== USUAL.name)
+  const selected = names
+    .filter((name) => name !== DEFAULT_SET.name)
     .map((name) => {
       const found = all.find((set) => set.name === name);
       if (found !== undefined) return found;
       const known = all.map((set) => set.name).join(', ');
-      throw new Error(`no set is called ${name}; there are ${known}`);
+      throw new Error(`unknown switch set "${name}"; expected one of: ${known}`);
     });
-  return [USUAL, ...picked];
+  return [DEFAULT_SET, ...selected];
 }
 
-/** The lines that a settings file needs for a set. */
-export function settingsOf({ switches }: SwitchSet): string {
+/** TOML lines that apply a set when appended to a settings file; empty for the defaults. */
+export function formatSettings({ switches }: SwitchSet): string {
   const lines = Object.entries(switches).map(
     ([name, value]) => `${name} = ${JSON.stringify(value)}`,
   );
--- a/bench/append.ts
+++ b/bench/append.ts
@@ -4,13 +4,12 @@
 import { SystemClock, SystemRandom, delay } from '../src/core';
 import { type Envelope, ReplicatedLog, type StateMachine, hostOf } from '../src/replication';
 import { SegmentedStore } from '../src/storage';
-import { Latencies, round, runAtOnce } from './figures';
+import { LatencyHistogram, roundToThousandths, runConcurrently } from './figures';
 
 const COMMAND = JSON.stringify({ text: 'x'.repeat(500) });
-const READY_MILLISECONDS = 20;
+const LEADER_POLL_MILLISECONDS = 20;
 
-/** A state that counts. */
-class Counter implements StateMachine<number> {
+class CountingStateMachine implements StateMachine<number> {
   #count = 0;
 
   apply(): number {
@@ -27,33 +26,35 @@
   }
 }
 
-/** Appends through members of a log in this process, each with a disk folder of its own. */
+/** Measures appends to replicated logs whose members run in this process, each with its own folder. */
 export async function benchAppend(calls: number): Promise<object> {
   const folder = await mkdtemp(join(tmpdir(), 'martenbay-append-'));
-  const bare = await measureBare(join(folder, 'bare'), calls);
+  const direct = await measureDirectWrites(join(folder, 'bare'), calls);
   const results: object[] = [];
   for (const members of [1, 3]) {
-    for (const atOnce of [1, 16, 256]) {
-      results.push(await measureLog(join(folder, `${members}-${atOnce}`), members, atOnce, calls));
+    for (const concurrency of [1, 16, 256]) {
+      results.push(
+        await measureLog(join(folder, `${members}-${concurrency}`), members, concurrency, calls),
+      );
     }
   }
   await rm(folder, { recursive: true });
   return {
     bytes: COMMAND.length,
-    bareWriteAndSync: { p50: bare.at(50), p99: bare.at(99) },
+    bareWriteAndSync: { p50: direct.percentile(50), p99: direct.percentile(99) },
     results,
   };
 }
 
-/** A write and a sync of the same bytes, one after the other. */
-async function measureBare(path: string, calls: number): Promise<Latencies> {
-  const latencies = new Latencies();
+/** Baseline: sequential writes of the same bytes, each followed by fdatasync. */
+async function measureDirectWrites(path: string, calls: number): Promise<LatencyHistogram> {
+  const latencies = new LatencyHistogram();
   const file = await open(path, 'a');
   for (let call = 0; call < calls; call += 1) {
-    const started = performance.now();
+    const startedAt = performance.now();
     await file.write(COMMAND);
     await file.datasync();
-    latencies.add(performance.now() - started);
+    latencies.record(performance.now() - startedAt);
   }
   await file.close();
   return latencies;
@@ -62,26 +63,26 @@
 async function measureLog(
   folder: string,
   members: number,
-  atOnce: number,
+  concurrency: number,
   calls: number,
 ): Promise<object> {
   const logs = buildLogs(folder, members);
   await Promise.all(logs.map((log) => log.start()));
   const leader = await findLeader(logs);
-  const latencies = new Latencies();
-  const started = performance.now();
-  await runAtOnce(calls, atOnce, async () => {
-    const proposed = performance.now();
+  const latencies = new LatencyHistogram();
+  const startedAt = performance.now();
+  await runConcurrently(calls, concurrency, async () => {
+    const proposedAt = performance.now();
     await leader.propose(COMMAND);
-    latencies.add(performance.now() - proposed);
+    latencies.record(performance.now() - proposedAt);
   });
-  const seconds = (performance.now() - started) / 1000;
+  const seconds = (performance.now() - startedAt) / 1000;
   await Promise.all(logs.map((log) => log.stop()));
   return {
     members,
-    atOnce,
-    milliseconds: { p50: latencies.at(50), p99: latencies.at(99) },
-    commitsPerSecond: round(calls / seconds),
+    atOnce: concurrency,
+    milliseconds: { p50: latencies.percentile(50), p99: latencies.percentile(99) },
+    commitsPerSecond: roundToThousandths(calls / seconds),
   };
 }
 
@@ -97,7 +98,7 @@
       hosts: () => names,
       store: new SegmentedStore({ folder: join(folder, name) }),
       transport: { send },
-      machine: new Counter(),
+      machine: new CountingStateMachine(),
       clock: new SystemClock(),
       random: new SystemRandom(),
     });
@@ -110,6 +111,6 @@
   for (;;) {
     const leader = logs.find((log) => log.serves);
     if (leader !== undefined) return leader;
-    await delay(new SystemClock(), READY_MILLISECONDS);
+    await delay(new SystemClock(), LEADER_POLL_MILLISECONDS);
   }
 }
--- a/bench/control.ts
+++ b/bench/control.ts
@@ -11,20 +11,20 @@
   readonly nodes: readonly number[];
   readonly groups: readonly number[];
   readonly programs: readonly number[];
-  /** Only the parts whose names contain it. */
+  /** Runs only the parts whose names contain this text. */
   readonly part: string;
 }
 
-const CHANGES = 10;
+const CONFIGURATION_CHANGES = 10;
 
-/** What the replicated state costs; one JSON line a part. */
+/** Benchmarks the replicated control state; prints one JSON line per part. */
 export async function benchControl(options: ControlBenchOptions): Promise<void> {
   const { calls, kills, nodes, groups, programs } = options;
   const parts: readonly (readonly [string, () => Promise<object>])[] = [
     ['append', () => benchAppend(calls)],
     ['groups', () => benchGroups(groups)],
     ['failover', () => benchFailover(kills)],
-    ['fan-out', () => benchFanOut(nodes, CHANGES)],
+    ['fan-out', () => benchFanOut(nodes, CONFIGURATION_CHANGES)],
     ['restart', () => benchRestart(programs)],
   ];
   for (const [part, run] of parts) {
--- a/bench/decide.ts
+++ b/bench/decide.ts
@@ -2,65 +2,63 @@
 import { ALL_DECISIONS, type Placer, createPlacers } from '../src/decisions';
 import { type PlacementRequest, TargetChooser, TargetDirectory } from '../src/targets';
 
-/** Decisions of each kind that are timed. */
-const DECISIONS = 2000;
+const TIMED_DECISIONS = 2000;
 
-/** Decisions before the first that is timed, in which the code is compiled. */
-const WARM_UP = 500;
+/** Decisions made first and not timed, so that the code is compiled. */
+const WARM_UP_DECISIONS = 500;
 
-/** Parts of prompts that each engine holds. */
-const PARTS_HELD = 200;
+const CACHED_PARTS_PER_ENGINE = 200;
 
 const ZONES = ['a', 'b', 'c'];
 
-/** Microseconds of one decision. */
-interface DecisionTimes {
+/** Percentiles of the time of one decision; microseconds. */
+interface DecisionLatency {
   readonly p50: number;
   readonly p99: number;
 }
 
-/** Time of one choice of a target, and memory of a target, by the number of targets. */
+/** Prints the time of one target selection and the memory per target for each number of targets. */
 export function benchDecide(sizes: readonly number[]): void {
   for (const targets of sizes) {
     const before = process.memoryUsage().heapUsed;
-    const { chooser, fill } = createService(targets);
-    fill();
+    const { chooser, populate } = createService(targets);
+    populate();
     const bytes = Math.max(0, process.memoryUsage().heapUsed - before) / targets;
     const line = {
       targets,
-      engine: time(chooser, PLACERS.engine),
-      slot: time(chooser, PLACERS.slot),
+      engine: measureDecisions(chooser, POLICIES.engine),
+      slot: measureDecisions(chooser, POLICIES.slot),
       kilobytesEach: Math.round(bytes / 1024),
     };
     process.stdout.write(`${JSON.stringify(line)}\n`);
   }
 }
 
-const PLACERS = createPlacers(ALL_DECISIONS);
+const POLICIES = createPlacers(ALL_DECISIONS);
 
-/** A service of many engines, and what fills them as if they had worked for a while. */
+/** A service of `count` engines; `populate` adds them with requests in flight and cached prompt parts. */
 function createService(count: number) {
-  const parts = { clock: new SystemClock(), random: new SeededRandom(2) };
+  const context = { clock: new SystemClock(), random: new SeededRandom(2) };
   const targets = new TargetDirectory({
-    ...parts,
+    ...context,
     logger: createSilentLogger(),
     source: { list: () => Promise.resolve([]) },
   });
-  const chooser = new TargetChooser({ ...parts, targets, availabilityZone: 'a' });
-  const fill = () => {
-    targets.take(Array.from({ length: count }, (_, index) => listed(index)));
+  const chooser = new TargetChooser({ ...context, targets, availabilityZone: 'a' });
+  const populate = () => {
+    targets.take(Array.from({ length: count }, (_, index) => createTarget(index)));
     for (const state of targets.all()) {
       state.inFlight = Number(state.target.id.slice(1)) % 5;
-      for (let part = 0; part < PARTS_HELD; part += 1) {
+      for (let part = 0; part < CACHED_PARTS_PER_ENGINE; part += 1) {
         const id = `p${state.target.id}-${part}`;
         chooser.noteParts(state, [{ id, tokens: 500 }], 70, Infinity);
       }
     }
   };
-  return { chooser, fill };
+  return { chooser, populate };
 }
 
-function listed(index: number) {
+function createTarget(index: number) {
   return {
     id: `t${index}`,
     service: 's',
@@ -71,8 +69,8 @@
   };
 }
 
-/** A turn that goes on with a conversation which one of the engines holds. */
-function requestAt(random: SeededRandom): PlacementRequest {
+/** A turn of a conversation whose prefix one of the engines has cached. */
+function createRequest(random: SeededRandom): PlacementRequest {
   const parts = [
     { id: 'shared', tokens: 512 },
     { id: `pt${Math.floor(random.fraction() * 10)}-7`, tokens: 900 },
@@ -80,24 +78,25 @@
   return { parts, promptTokens: 1412, lastTarget: undefined, heldTokens: 0 };
 }
 
-function time(chooser: TargetChooser, placer: Placer): DecisionTimes {
+function measureDecisions(chooser: TargetChooser, policy: Placer): DecisionLatency {
   const random = new SeededRandom(1);
   const decide = () =>
     chooser.choose({
       service: 's',
-      placer,
-      placement: requestAt(random),
+      placer: policy,
+      placement: createRequest(random),
       tried: new Set(),
       connectionLimit: 100,
     });
-  for (let count = 0; count < WARM_UP; count += 1) decide();
-  const times: number[] = [];
-  for (let count = 0; count < DECISIONS; count += 1) {
+  for (let count = 0; count < WARM_UP_DECISIONS; count += 1) decide();
+  const durations: number[] = [];
+  for (let count = 0; count < TIMED_DECISIONS; count += 1) {
     const startedAt = performance.now();
     decide();
-    times.push((performance.now() - startedAt) * 1000);
+    durations.push((performance.now() - startedAt) * 1000);
   }
-  times.sort((left, right) => left - right);
-  const at = (share: number) => Math.round(times[Math.floor(times.length * share)] ?? 0);
-  return { p50: at(0.5), p99: at(0.99) };
+  durations.sort((left, right) => left - right);
+  const quantile = (share: number) =>
+    Math.round(durations[Math.floor(durations.length * share)] ?? 0);
+  return { p50: quantile(0.5), p99: quantile(0.99) };
 }
--- a/bench/failover.ts
+++ b/bench/failover.ts
@@ -1,21 +1,21 @@
 import { SeparateSystem } from '../scripts/separate/system';
-import { Latencies } from './figures';
+import { LatencyHistogram } from './figures';
 
-/** Time from the kill of a leader until another one answers, of the configuration's group. */
+/** Time from the kill of the configuration group's leader until a new leader answers. */
 export async function benchFailover(kills: number): Promise<object> {
   const system = await SeparateSystem.start({ entries: 1, engines: 1, programGroups: 1 });
-  const latencies = new Latencies();
+  const latencies = new LatencyHistogram();
   for (let count = 0; count < kills; count += 1) {
     const { leader } = await system.group('configuration');
     const child = system.child(leader);
     child.signal('SIGKILL');
-    const killed = performance.now();
+    const killedAt = performance.now();
     await system.status();
-    latencies.add(performance.now() - killed);
+    latencies.record(performance.now() - killedAt);
     await child.exited;
     await system.restart(leader);
     await system.child(leader).logged((line) => line['leader'] !== undefined);
   }
   await system.stop();
-  return { kills, milliseconds: { p50: latencies.at(50), p99: latencies.at(99) } };
+  return { kills, milliseconds: { p50: latencies.percentile(50), p99: latencies.percentile(99) } };
 }
--- a/bench/fan-out.ts
+++ b/bench/fan-out.ts
@@ -5,62 +5,66 @@
 import { type SourceFile, digestFiles } from '../src/configuration';
 import { type Component, SystemClock, createSilentLogger, delay } from '../src/core';
 import { ControlClient, Presence } from '../src/protocol';
-import { Latencies } from './figures';
+import { LatencyHistogram } from './figures';
 
 const CONNECT_MILLISECONDS = 3000;
 
 /**
- * A connected process. All are in this one process, so that they only note the number that they
- * get: what reading the files takes is the work of as many processes elsewhere.
+ * A simulated process. All of them share this process, so they only record the number of the
+ * configuration that they receive and do not parse its files.
  */
-interface Node {
-  number: number;
-  readonly parts: readonly Component[];
+interface ConnectedNode {
+  configurationNumber: number;
+  readonly components: readonly Component[];
 }
 
-/** Time from an operator's apply until a change is in force at every one of many processes. */
+/** Time from an operator's apply until every connected process has received the configuration. */
 export async function benchFanOut(sizes: readonly number[], changes: number): Promise<object> {
   const system = await SeparateSystem.start({ entries: 1, engines: 1, programGroups: 1 });
   const results: object[] = [];
   let number = 1;
   for (const nodes of sizes) {
-    let wake: () => void = () => undefined;
+    let notifyAdopted: () => void = () => undefined;
     const connected = Array.from({ length: nodes }, (_, index) =>
       connect(system, index, () => {
-        wake();
+        notifyAdopted();
       }),
     );
     await delay(new SystemClock(), CONNECT_MILLISECONDS);
-    const latencies = new Latencies();
+    const latencies = new LatencyHistogram();
     for (let change = 0; change < changes; change += 1) {
       number += 1;
-      const started = performance.now();
-      const done = new Promise<void>((resolve) => {
-        wake = () => {
-          if (connected.every((node) => node.number === number)) resolve();
+      const startedAt = performance.now();
+      const adopted = new Promise<void>((resolve) => {
+        notifyAdopted = () => {
+          if (connected.every((node) => node.configurationNumber === number)) resolve();
         };
       });
       await apply(system, number);
-      await done;
-      latencies.add(performance.now() - started);
+      await adopted;
+      latencies.record(performance.now() - startedAt);
     }
-    for (const { parts } of connected) for (const part of parts) await part.stop?.();
-    results.push({ nodes, milliseconds: { p50: latencies.at(50), highest: latencies.at(100) } });
+    for (const { components } of connected)
+      for (const component of components) await component.stop?.();
+    results.push({
+      nodes,
+      milliseconds: { p50: latencies.percentile(50), highest: latencies.percentile(100) },
+    });
   }
   await system.stop();
   return { changes, results };
 }
 
-function connect(system: SeparateSystem, index: number, onAdopted: () => void): Node {
+function connect(system: SeparateSystem, index: number, onAdopted: () => void): ConnectedNode {
   const clock = new SystemClock();
   const logger = createSilentLogger();
-  const node = { number: 0 };
+  const node = { configurationNumber: 0 };
   const client = new ControlClient({
     members: system.layout.controlMembers,
     credential: system.layout.processCredential,
     clock,
   });
-  const presence: Presence = new Presence({
+  const controlSession: Presence = new Presence({
     client,
     clock,
     logger,
@@ -70,26 +74,26 @@
       name: `node-${index}`,
       incarnation: 'bench',
       state: 'serving',
-      configurationNumber: node.number,
+      configurationNumber: node.configurationNumber,
       target: `target-${index}`,
       load: { running: 0, waiting: 0 },
     }),
     position: () => ({
-      configurationNumber: node.number,
+      configurationNumber: node.configurationNumber,
       target: `target-${index}`,
     }),
     onChanges: (changed) => {
       if (changed.configuration === undefined) return;
-      node.number = changed.configuration.number;
-      void presence.announce();
+      node.configurationNumber = changed.configuration.number;
+      void controlSession.announce();
       onAdopted();
     },
   });
-  presence.start();
-  return Object.assign(node, { parts: [presence, client] });
+  controlSession.start();
+  return Object.assign(node, { components: [controlSession, client] });
 }
 
-/** Applies the system's own files under another number. */
+/** Applies the current configuration files with another number. */
 async function apply(system: SeparateSystem, number: number): Promise<void> {
   const directory = system.layout.configuration;
   const files: SourceFile[] = [];
--- a/bench/figures.ts
+++ b/bench/figures.ts
@@ -1,40 +1,38 @@
 import { type Histogram, build } from 'hdr-histogram-js';
 
-const HIGHEST_MICROSECONDS = 60_000_000;
+const MAX_TRACKABLE_MICROSECONDS = 60_000_000;
 
-/** Latencies of one kind of call. */
-export class Latencies {
+export class LatencyHistogram {
   readonly #histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MICROSECONDS,
+    highestTrackableValue: MAX_TRACKABLE_MICROSECONDS,
     numberOfSignificantValueDigits: 3,
   });
 
-  /** Adds one duration in milliseconds. */
-  add(milliseconds: number): void {
+  /** Records one duration in milliseconds. */
+  record(milliseconds: number): void {
     this.#histogram.recordValue(Math.max(1, Math.round(milliseconds * 1000)));
   }
 
-  /** A percentile in milliseconds. */
-  at(percentile: number): number {
-    return round(this.#histogram.getValueAtPercentile(percentile) / 1000);
+  /** Returns a percentile (0 to 100) in milliseconds. */
+  percentile(percentile: number): number {
+    return roundToThousandths(this.#histogram.getValueAtPercentile(percentile) / 1000);
   }
 }
 
-/** Rounds to three decimals. */
-export function round(value: number): number {
+export function roundToThousandths(value: number): number {
   return Math.round(value * 1000) / 1000;
 }
 
-/** Prints one result as one JSON line. */
+/** Writes a value as one JSON line to standard output. */
 export function printLine(value: object): void {
   process.stdout.write(`${JSON.stringify(value)}\n`);
 }
 
-/** Runs `count` pieces of work, `atOnce` at a time. */
-export async function runAtOnce(
+/** Calls `work` `count` times, with at most `concurrency` calls pending. */
+export async function runConcurrently(
   count: number,
-  atOnce: number,
+  concurrency: number,
   work: (index: number) => Promise<void>,
 ): Promise<void> {
   let next = 0;
@@ -45,5 +43,5 @@
       await work(index);
     }
   };
-  await Promise.all(Array.from({ length: atOnce }, worker));
+  await Promise.all(Array.from({ length: concurrency }, worker));
 }
--- a/bench/footprint.ts
+++ b/bench/footprint.ts
@@ -3,54 +3,56 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { SystemClock, delay } from '../src/core';
 import { LOCAL_KEY } from '../src/local';
-import { printLine, round, runAtOnce } from './figures';
+import { printLine, roundToThousandths, runConcurrently } from './figures';
 import { processorSeconds, residentMegabytes, transferredBytes } from './processes';
 
-interface Reading {
+interface ResourceUsage {
+  /** Processor time in seconds. */
   readonly processor: number;
+  /** Bytes read and written, sockets included. */
   readonly bytes: number;
 }
 
 const WINDOW_MILLISECONDS = 5000;
-const AT_ONCE = 16;
+const CONCURRENCY = 16;
 
-/** Memory, processor share and bytes a second of each role, idle and under load. */
+/** Memory, processor share and transferred bytes per second of each process, idle and under load. */
 export async function benchFootprint(programGroups: number): Promise<void> {
   const system = await SeparateSystem.start({ programGroups });
-  const idle = await observe(system, () => delay(new SystemClock(), WINDOW_MILLISECONDS));
-  const agent = new Agent({ connections: AT_ONCE });
+  const idle = await measureUsage(system, () => delay(new SystemClock(), WINDOW_MILLISECONDS));
+  const agent = new Agent({ connections: CONCURRENCY });
   let calls = 0;
-  const loaded = await observe(system, async () => {
+  const loaded = await measureUsage(system, async () => {
     const end = performance.now() + WINDOW_MILLISECONDS;
-    await runAtOnce(AT_ONCE, AT_ONCE, async (index) => {
+    await runConcurrently(CONCURRENCY, CONCURRENCY, async (index) => {
       while (performance.now() < end) {
-        await callOnce(agent, system.entryUrls[index % 2] ?? '');
+        await sendChatRequest(agent, system.entryUrls[index % 2] ?? '');
         calls += 1;
       }
     });
   });
   await agent.close();
   await system.stop();
-  const callsPerSecond = round((calls / WINDOW_MILLISECONDS) * 1000);
+  const callsPerSecond = roundToThousandths((calls / WINDOW_MILLISECONDS) * 1000);
   printLine({ bench: 'footprint', programGroups, callsPerSecond, idle, loaded });
 }
 
-/** What each of martenbay's processes used while something went on. */
-async function observe(system: SeparateSystem, during: () => Promise<void>): Promise<object> {
+/** Resource usage of each martenbay process while `work` runs. */
+async function measureUsage(system: SeparateSystem, work: () => Promise<void>): Promise<object> {
   const children = system.children.filter((child) => /^(entry|control|sidecar)/.test(child.name));
-  const before = new Map(children.map((child) => [child.name, read(child)]));
-  const started = performance.now();
-  await during();
-  const seconds = (performance.now() - started) / 1000;
+  const before = new Map(children.map((child) => [child.name, readUsage(child)]));
+  const startedAt = performance.now();
+  await work();
+  const seconds = (performance.now() - startedAt) / 1000;
   return Object.fromEntries(
     children.map((child) => {
-      const after = read(child);
+      const after = readUsage(child);
       const start = before.get(child.name) ?? after;
       return [
         child.name,
         {
-          residentMegabytes: round(residentMegabytes(child.pid)),
-          corePercent: round(((after.processor - start.processor) / seconds) * 100),
+          residentMegabytes: roundToThousandths(residentMegabytes(child.pid)),
+          corePercent: roundToThousandths(((after.processor - start.processor) / seconds) * 100),
           bytesPerSecond: Math.round((after.bytes - start.bytes) / seconds),
         },
       ];
@@ -58,12 +60,12 @@
   );
 }
 
-function read(child: Child): Reading {
+function readUsage(child: Child): ResourceUsage {
   return { processor: processorSeconds(child.pid), bytes: transferredBytes(child.pid) };
 }
 
-async function callOnce(agent: Agent, entry: string): Promise<void> {
-  const answer = await request(`${entry}/v1/chat/completions`, {
+async function sendChatRequest(agent: Agent, entry: string): Promise<void> {
+  const response = await request(`${entry}/v1/chat/completions`, {
     dispatcher: agent,
     method: 'POST',
     headers: { authorization: `Bearer ${LOCAL_KEY}`, 'content-type': 'application/json' },
@@ -73,5 +75,5 @@
       stream: true,
     }),
   });
-  await answer.body.text();
+  await response.body.text();
 }
--- a/bench/groups.ts
+++ b/bench/groups.ts
@@ -1,12 +1,12 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { SystemClock, delay } from '../src/core';
-import { round } from './figures';
+import { roundToThousandths } from './figures';
 import { processorSeconds, residentMegabytes, transferredBytes } from './processes';
 
 const WINDOW_MILLISECONDS = 5000;
 const SETTLE_MILLISECONDS = 1500;
 
-/** What three idle control hosts spend by the number of groups that they hold. */
+/** Resource usage of three idle control hosts for each number of program groups. */
 export async function benchGroups(sizes: readonly number[]): Promise<object> {
   const results: object[] = [];
   for (const programGroups of sizes) results.push(await measure(programGroups));
@@ -26,21 +26,21 @@
   const seconds = WINDOW_MILLISECONDS / 1000;
   const hosts = children.map(({ name, pid }, index) => ({
     name,
-    corePercent: round(difference(before, after, index, 'seconds') / seconds) * 100,
+    corePercent: roundToThousandths(difference(before, after, index, 'seconds') / seconds) * 100,
     bytesPerSecond: Math.round(difference(before, after, index, 'bytes') / seconds),
-    residentMegabytes: round(residentMegabytes(pid)),
+    residentMegabytes: roundToThousandths(residentMegabytes(pid)),
   }));
   await system.stop();
   return { programGroups, hosts };
 }
 
-type Reading = Readonly<Record<'seconds' | 'bytes', number>>;
+type ResourceUsage = Readonly<Record<'seconds' | 'bytes', number>>;
 
 function difference(
-  before: readonly Reading[],
-  after: readonly Reading[],
+  before: readonly ResourceUsage[],
+  after: readonly ResourceUsage[],
   index: number,
-  key: keyof Reading,
+  key: keyof ResourceUsage,
 ): number {
   return (after[index]?.[key] ?? 0) - (before[index]?.[key] ?? 0);
 }
--- a/bench/link.ts
+++ b/bench/link.ts
@@ -14,7 +14,7 @@
 import WebSocket, { WebSocketServer } from 'ws';
 import * as z from 'zod';
 import { ControlSocket, socketLink } from '../src/protocol/socket';
-import { printLine, round } from './figures';
+import { printLine, roundToThousandths } from './figures';
 
 const t = initTRPC.create();
 const router = t.router({
@@ -26,7 +26,7 @@
 
 const WARM_UP_CALLS = 300;
 
-/** What one tRPC call costs by each link, one after the other, both ends in this process. */
+/** Processor time and latency of one tRPC call over each link; calls are sequential, both ends in this process. */
 export async function benchLink(calls: number): Promise<void> {
   const server = createServer(createHTTPHandler({ router }));
   applyWSSHandler({ wss: new WebSocketServer({ server }), router });
@@ -60,14 +60,14 @@
     for (let number = 0; number < count; number += 1) await client.ping.mutate({ number });
   };
   await run(WARM_UP_CALLS);
-  const started = performance.now();
+  const startedAt = performance.now();
   const before = process.cpuUsage();
   await run(calls);
-  const used = process.cpuUsage(before);
+  const usage = process.cpuUsage(before);
   return {
     link: name,
-    processorMilliseconds: round((used.user + used.system) / calls / 1000),
-    latencyMilliseconds: round((performance.now() - started) / calls),
+    processorMilliseconds: roundToThousandths((usage.user + usage.system) / calls / 1000),
+    latencyMilliseconds: roundToThousandths((performance.now() - startedAt) / calls),
   };
 }
 
--- a/bench/log.ts
+++ b/bench/log.ts
@@ -1,10 +1,10 @@
 import { Metrics, SystemClock, createLogger } from '../src/core';
 import { LogOutput } from '../src/nodes/log-output';
 
-/** Lines between two turns of the event loop, as in a burst. */
-const LINES_AT_ONCE = 50;
+/** Lines written per iteration of the event loop, as in a burst. */
+const LINES_PER_ITERATION = 50;
 
-/** A line as a gateway writes it for a turn. */
+/** The line that a gateway writes for one turn. */
 const LINE = {
   event: 'request',
   request: 'ca7a0b3b5551eb6d',
@@ -34,7 +34,7 @@
   ],
 };
 
-/** Processor time of one line on standard output; prints the figure on standard error. */
+/** Writes log lines to standard output; prints the processor time of one line on standard error. */
 export async function benchLog(lines: number): Promise<void> {
   const output = new LogOutput(new SystemClock(), new Metrics());
   const { stream } = output;
@@ -42,7 +42,7 @@
   const before = process.cpuUsage();
   for (let line = 0; line < lines; line += 1) {
     logger.info(LINE);
-    if (line % LINES_AT_ONCE === 0) await new Promise(setImmediate);
+    if (line % LINES_PER_ITERATION === 0) await new Promise(setImmediate);
   }
   const { user, system } = process.cpuUsage(before);
   output.stop();
--- a/bench/nodes.ts
+++ b/bench/nodes.ts
@@ -1,51 +1,51 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { type Component, SystemClock, createSilentLogger, delay } from '../src/core';
 import { ControlClient, Presence } from '../src/protocol';
-import { printLine, round } from './figures';
+import { printLine, roundToThousandths } from './figures';
 import { processorSeconds, residentMegabytes, transferredBytes } from './processes';
 
 const WINDOW_MILLISECONDS = 5000;
 const SETTLE_MILLISECONDS = 2000;
 const HEARTBEAT_MILLISECONDS = 1000;
 
-/** What one control host spends on the processes that are connected to it. */
+/** Resource usage of one control host for each number of connected processes. */
 export async function benchNodes(sizes: readonly number[]): Promise<void> {
   const system = await SeparateSystem.start({ controls: 1, entries: 1, engines: 1 });
   const { pid } = system.child('control-1');
   const results: object[] = [];
   for (const nodes of sizes) {
-    const stops = await connect(system, nodes);
+    const components = await connect(system, nodes);
     const before = { seconds: processorSeconds(pid), bytes: transferredBytes(pid) };
-    const started = performance.now();
+    const startedAt = performance.now();
     await delay(new SystemClock(), WINDOW_MILLISECONDS);
-    const elapsed = (performance.now() - started) / 1000;
+    const elapsed = (performance.now() - startedAt) / 1000;
     const seconds = processorSeconds(pid) - before.seconds;
     const bytes = transferredBytes(pid) - before.bytes;
     results.push({
       nodes,
-      corePercent: round((seconds / elapsed) * 100),
+      corePercent: roundToThousandths((seconds / elapsed) * 100),
       bytesPerSecond: Math.round(bytes / elapsed),
       bytesPerSecondAndNode: Math.round(bytes / elapsed / nodes),
-      residentMegabytes: round(residentMegabytes(pid)),
+      residentMegabytes: roundToThousandths(residentMegabytes(pid)),
     });
-    for (const part of stops) await part.stop?.();
+    for (const component of components) await component.stop?.();
   }
   await system.stop();
   printLine({ bench: 'nodes', heartbeatMilliseconds: HEARTBEAT_MILLISECONDS, results });
 }
 
-/** Connects processes that only send heartbeats and wait for changes, as sidecars do. */
+/** Connects clients that send heartbeats and wait for changes, as sidecars do. */
 async function connect(system: SeparateSystem, count: number): Promise<readonly Component[]> {
   const clock = new SystemClock();
   const logger = createSilentLogger();
-  const parts: Component[] = [];
+  const components: Component[] = [];
   for (let index = 0; index < count; index += 1) {
     const client = new ControlClient({
       members: system.layout.controlMembers,
       credential: system.layout.processCredential,
       clock,
     });
-    const presence = new Presence({
+    const controlSession = new Presence({
       client,
       clock,
       logger,
@@ -62,9 +62,9 @@
       position: () => ({ configurationNumber: 1, target: `target-${index}` }),
       onChanges: () => undefined,
     });
-    presence.start();
-    parts.push(presence, client);
+    controlSession.start();
+    components.push(controlSession, client);
   }
   await delay(clock, SETTLE_MILLISECONDS);
-  return parts;
+  return components;
 }
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -2,10 +2,10 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { formatAddress } from '../src/core';
 import { INSTANT_ENGINE, LOCAL_KEY } from '../src/local';
-import { Latencies, printLine, round, runAtOnce } from './figures';
+import { LatencyHistogram, printLine, roundToThousandths, runConcurrently } from './figures';
 import { processorSeconds } from './processes';
 
-/** One kind of call, made through martenbay and straight at the stand-in. */
+/** One kind of call, sent through martenbay and directly to the stand-in. */
 interface CallKind {
   readonly name: string;
   readonly path: string;
@@ -14,10 +14,10 @@
   readonly body: object;
 }
 
-const TOKENS = 16;
+const OUTPUT_TOKENS = 16;
 
-function chat(name: string, stream: boolean): CallKind {
-  const messages = [{ role: 'user', content: `Which seat? [tokens=${TOKENS}]` }];
+function createChatKind(name: string, stream: boolean): CallKind {
+  const messages = [{ role: 'user', content: `Which seat? [tokens=${OUTPUT_TOKENS}]` }];
   const path = '/v1/chat/completions';
   return {
     name,
@@ -28,9 +28,9 @@
   };
 }
 
-const KINDS: readonly CallKind[] = [
-  chat('chat, whole', false),
-  chat('chat, streamed', true),
+const CALL_KINDS: readonly CallKind[] = [
+  createChatKind('chat, whole', false),
+  createChatKind('chat, streamed', true),
   {
     name: 'service call',
     path: '/services/check-in/queue',
@@ -49,34 +49,36 @@
 
 const WARM_UP_CALLS = 200;
 
-const ENGINE = { ...INSTANT_ENGINE, 'batch-limit': 128 };
+const ENGINE_SETTINGS = { ...INSTANT_ENGINE, 'batch-limit': 128 };
 
-/** Which of the measurements to make. */
 export interface PathOptions {
+  /** Calls of each kind. */
   readonly calls: number;
-  /** Part of the names of the kinds of call. */
+  /** Runs only the kinds of call whose names contain this text. */
   readonly kind: string;
+  /** Numbers of concurrent calls. */
   readonly atOnce: readonly number[];
-  /** Groups of programs, entries and engines. */
+  /** Number of program groups. */
   readonly groups: number;
+  /** Number of entries, and of engines. */
   readonly entries: number;
 }
 
-/** Latency through martenbay beside that of the stand-in alone, in one run. */
+/** Latency through martenbay compared with direct calls of the stand-in in the same run. */
 export async function benchPath(options: PathOptions): Promise<void> {
   const { calls } = options;
   const system = await SeparateSystem.start({
     entries: options.entries,
     engines: options.entries,
     programGroups: options.groups,
-    engineSettings: ENGINE,
+    engineSettings: ENGINE_SETTINGS,
   });
   const agent = new Agent({ connections: 128 });
   const results: object[] = [];
-  for (const kind of KINDS.filter(({ name }) => name.includes(options.kind))) {
-    for (const atOnce of options.atOnce) {
-      await measure(system, agent, kind, atOnce, WARM_UP_CALLS);
-      results.push(await measure(system, agent, kind, atOnce, calls));
+  for (const kind of CALL_KINDS.filter(({ name }) => name.includes(options.kind))) {
+    for (const concurrency of options.atOnce) {
+      await measure(system, agent, kind, concurrency, WARM_UP_CALLS);
+      results.push(await measure(system, agent, kind, concurrency, calls));
     }
   }
   await agent.close();
@@ -88,61 +90,63 @@
   system: SeparateSystem,
   agent: Agent,
   kind: CallKind,
-  atOnce: number,
+  concurrency: number,
   calls: number,
 ): Promise<object> {
   const target = system.layout.targets.find((entry) => entry.name === kind.target);
-  if (target === undefined) throw new Error(`no target ${kind.target}`);
-  const through = new Latencies();
-  const direct = new Latencies();
-  const before = ownSeconds(system);
-  const started = performance.now();
+  if (target === undefined)
+    throw new Error(`no target "${kind.target}" in the layout of the system`);
+  const proxied = new LatencyHistogram();
+  const direct = new LatencyHistogram();
+  const before = martenbayProcessorSeconds(system);
+  const startedAt = performance.now();
   const entry = system.entryUrls[0] ?? '';
-  await runAtOnce(calls, atOnce, async () => {
-    through.add(await timeCall(agent, `${entry}${kind.path}`, kind.body));
+  await runConcurrently(calls, concurrency, async () => {
+    proxied.record(await timeCall(agent, `${entry}${kind.path}`, kind.body));
   });
-  const seconds = (performance.now() - started) / 1000;
-  const processor = ownSeconds(system) - before;
+  const seconds = (performance.now() - startedAt) / 1000;
+  const processor = martenbayProcessorSeconds(system) - before;
   const directUrl = `http://${formatAddress(target.address)}${kind.directPath}`;
-  await runAtOnce(calls, atOnce, async () => {
-    direct.add(await timeCall(agent, directUrl, { ...kind.body, max_tokens: TOKENS }));
+  await runConcurrently(calls, concurrency, async () => {
+    direct.record(await timeCall(agent, directUrl, { ...kind.body, max_tokens: OUTPUT_TOKENS }));
   });
   return {
     kind: kind.name,
-    atOnce,
+    atOnce: concurrency,
     milliseconds: {
-      through: { p50: through.at(50), p99: through.at(99) },
-      direct: { p50: direct.at(50), p99: direct.at(99) },
+      through: { p50: proxied.percentile(50), p99: proxied.percentile(99) },
+      direct: { p50: direct.percentile(50), p99: direct.percentile(99) },
       difference: {
-        p50: round(through.at(50) - direct.at(50)),
-        p99: round(through.at(99) - direct.at(99)),
+        p50: roundToThousandths(proxied.percentile(50) - direct.percentile(50)),
+        p99: roundToThousandths(proxied.percentile(99) - direct.percentile(99)),
       },
     },
     ratio: {
-      p50: round(through.at(50) / direct.at(50)),
-      p99: round(through.at(99) / direct.at(99)),
+      p50: roundToThousandths(proxied.percentile(50) / direct.percentile(50)),
+      p99: roundToThousandths(proxied.percentile(99) / direct.percentile(99)),
     },
-    requestsPerSecond: round(calls / seconds),
-    requestsPerCoreSecond: round(calls / processor),
+    requestsPerSecond: roundToThousandths(calls / seconds),
+    requestsPerCoreSecond: roundToThousandths(calls / processor),
   };
 }
 
-/** Processor time of martenbay's own processes, without the stand-ins. */
-function ownSeconds(system: SeparateSystem): number {
+/** Processor time of all processes except the stand-ins; seconds. */
+function martenbayProcessorSeconds(system: SeparateSystem): number {
   return system.children
     .filter((child) => !child.name.startsWith('stand-in'))
     .reduce((sum, child) => sum + processorSeconds(child.pid), 0);
 }
 
 async function timeCall(agent: Agent, url: string, body: object): Promise<number> {
-  const started = performance.now();
-  const answer = await request(url, {
+  const startedAt = performance.now();
+  const response = await request(url, {
     dispatcher: agent,
     method: 'POST',
     headers: { authorization: `Bearer ${LOCAL_KEY}`, 'content-type': 'application/json' },
     body: JSON.stringify(body),
   });
-  const text = await answer.body.text();
-  if (answer.statusCode !== 200) throw new Error(`${url}: ${answer.statusCode} ${text}`);
-  return performance.now() - started;
+  const text = await response.body.text();
+  if (response.statusCode !== 200)
+    throw new Error(`${url}: expected status 200, got ${response.statusCode}: ${text}`);
+  return performance.now() - startedAt;
 }
--- a/bench/restart.ts
+++ b/bench/restart.ts
@@ -4,13 +4,13 @@
 import { digestText } from '../src/core';
 import { ContentStore, SegmentedStore } from '../src/storage';
 import { type Command, ProgramStateMachine } from '../src/state';
-import { round } from './figures';
+import { roundToThousandths } from './figures';
 
-/** A program of the target size: 20 turns of 70 kB, which is 350,000 tokens of 4 bytes. */
-const TURNS = 20;
+/** 20 turns of 70 kB are 350,000 tokens of 4 bytes. */
+const TURNS_PER_PROGRAM = 20;
 const TURN_TEXT = 'A word. '.repeat(8750);
 
-const KIND = {
+const PROGRAM_KIND = {
   outcome: 'kind',
   name: 'long',
   services: ['assistant'],
@@ -21,11 +21,15 @@
   callLimit: 1e6,
 } as const;
 
-/** Memory of a group with many long programs, and the time until it is read back. */
+/** Memory of a group with many long programs, and the time to restore it from its snapshot. */
 export async function benchRestart(sizes: readonly number[]): Promise<object> {
   const results: object[] = [];
   for (const programs of sizes) results.push(await measure(programs));
-  return { turns: TURNS, charactersPerProgram: TURNS * TURN_TEXT.length, results };
+  return {
+    turns: TURNS_PER_PROGRAM,
+    charactersPerProgram: TURNS_PER_PROGRAM * TURN_TEXT.length,
+    results,
+  };
 }
 
 async function measure(programs: number): Promise<object> {
@@ -41,22 +45,22 @@
   await store.compact({ snapshot: machine.snapshot(), records: [], exclusive: true });
   await store.close();
   await contents.close();
-  const started = performance.now();
-  const again = new SegmentedStore({ folder: join(folder, 'log') });
-  const { snapshot = [] } = await again.load();
+  const startedAt = performance.now();
+  const reopenedStore = new SegmentedStore({ folder: join(folder, 'log') });
+  const { snapshot = [] } = await reopenedStore.load();
   const restored = new ProgramStateMachine(await openContents(folder));
-  const heapBefore = heapMegabytes();
+  const heapBefore = usedHeapMegabytes();
   restored.restore(snapshot);
-  const milliseconds = performance.now() - started;
-  const heap = heapMegabytes() - heapBefore;
+  const milliseconds = performance.now() - startedAt;
+  const stateMegabytes = usedHeapMegabytes() - heapBefore;
   const snapshotBytes = snapshot.reduce((sum, row) => sum + row.length, 0);
-  await again.close();
+  await reopenedStore.close();
   await rm(folder, { recursive: true });
   return {
     programs,
-    restartMilliseconds: round(milliseconds),
-    stateMegabytes: round(heap),
-    snapshotMegabytes: round(snapshotBytes / 1e6),
+    restartMilliseconds: roundToThousandths(milliseconds),
+    stateMegabytes: roundToThousandths(stateMegabytes),
+    snapshotMegabytes: roundToThousandths(snapshotBytes / 1e6),
     restoredPrograms: restored.tables.programs.size,
   };
 }
@@ -67,7 +71,7 @@
   return contents;
 }
 
-function heapMegabytes(): number {
+function usedHeapMegabytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed / 1e6;
 }
@@ -79,8 +83,8 @@
     machine.apply(JSON.stringify(command), index);
   };
   const input = { id, team: 'bench', configurationNumber: 1 };
-  apply({ kind: 'create-program', at: 1, input, kindInForce: KIND });
-  for (let sequence = 1; sequence <= TURNS; sequence += 1) {
+  apply({ kind: 'create-program', at: 1, input, kindInForce: PROGRAM_KIND });
+  for (let sequence = 1; sequence <= TURNS_PER_PROGRAM; sequence += 1) {
     for (const command of turnCommands(id, sequence)) apply(command);
   }
 }
--- a/bench/tests/ablation.test.ts
+++ b/bench/tests/ablation.test.ts
@@ -1,12 +1,12 @@
 import { parse } from 'smol-toml';
 import { decisionSwitchesSchema } from '../../src/decisions';
-import { allSets, pickSets, settingsOf } from '../ablation/sets';
-import { formatRows, rowsOf } from '../ablation/table';
+import { allSets, selectSets, formatSettings } from '../ablation/sets';
+import { formatRows, buildRows } from '../ablation/table';
 
-describe('sets of switches', () => {
-  it('are read back from the settings that they are written to', () => {
+describe('ablation switch sets', () => {
+  it('parse back to the same switches from their settings lines', () => {
     for (const set of allSets()) {
-      const written = parse(settingsOf(set))['decisions'] ?? {};
+      const written = parse(formatSettings(set))['decisions'] ?? {};
       expect(decisionSwitchesSchema.parse(written)).toEqual({
         ...decisionSwitchesSchema.parse({}),
         ...set.switches,
@@ -14,7 +14,7 @@
     }
   });
 
-  it('hold each mechanism by itself, the baselines and what is usual', () => {
+  it('contain the defaults first, each mechanism disabled alone and baseline policies, once each', () => {
     const names = allSets().map(({ name }) => name);
     expect(names[0]).toBe('usual');
     expect(names).toContain('without-zones');
@@ -22,30 +22,32 @@
     expect(new Set(names).size).toBe(names.length);
   });
 
-  it('are picked by name, with a message that lists them where a name is wrong', () => {
-    expect(pickSets(['round-robin']).map(({ name }) => name)).toEqual(['usual', 'round-robin']);
-    expect(() => pickSets(['zone'])).toThrow(/no set is called zone; there are usual, without-/);
+  it('are selected by name after the default set, and an unknown name fails with the list of names', () => {
+    expect(selectSets(['round-robin']).map(({ name }) => name)).toEqual(['usual', 'round-robin']);
+    expect(() => selectSets(['zone'])).toThrow(
+      /unknown switch set "zone"; expected one of: usual, without-/,
+    );
   });
 });
 
-describe('the table of an ablation', () => {
+describe('ablation table', () => {
   const day = { day: 'd', failures: [] };
-  const days = [
+  const results = [
     { ...day, set: 'usual', seed: '1', worth: 0.9 },
     { ...day, set: 'usual', seed: '2', worth: 0.8 },
     { ...day, set: 'other', seed: '1', worth: 0.85 },
     { ...day, set: 'other', seed: '2', worth: 0.77, failures: ['BUDGET'] },
-    { ...day, set: 'other', seed: '3', worth: undefined, failures: ['not played'] },
+    { ...day, set: 'other', seed: '3', worth: undefined, failures: ['run failed'] },
   ];
 
-  it('compares seed by seed with what is usual', () => {
-    const [, row] = rowsOf(days, 'usual');
-    expect(row).toMatchObject({ set: 'other', seeds: 2, least: 0.77, most: 0.85 });
+  it('reports the mean and standard deviation of the paired differences to the default set', () => {
+    const [, row] = buildRows(results, 'usual');
+    expect(row).toMatchObject({ set: 'other', seeds: 2, minimum: 0.77, maximum: 0.85 });
     expect(row?.difference).toBeCloseTo(-0.04);
-    expect(row?.spread).toBeCloseTo(0.01414, 4);
+    expect(row?.standardDeviation).toBeCloseTo(0.01414, 4);
   });
 
-  it('names what failed', () => {
-    expect(formatRows(rowsOf(days, 'usual'))).toContain('BUDGET, not played');
+  it('lists the failures of all runs of a row', () => {
+    expect(formatRows(buildRows(results, 'usual'))).toContain('BUDGET, run failed');
   });
 });
--- a/bench/worst/calendar.ts
+++ b/bench/worst/calendar.ts
@@ -1,9 +1,9 @@
 import type { CancelTimer, Clock } from '../../src/core';
 
-/** Simulated time in whole milliseconds; what comes due at one time runs in the order it was asked. */
-export class Calendar implements Clock {
+/** Clock in whole simulated milliseconds; actions due at the same time run in the order of their calls. */
+export class SimulatedClock implements Clock {
   #now = 0;
-  readonly #due = new Map<number, (() => void)[]>();
+  readonly #scheduled = new Map<number, (() => void)[]>();
 
   now(): number {
     return this.#now;
@@ -19,18 +19,18 @@
     const run = () => {
       if (!cancelled) action();
     };
-    this.#due.set(at, [...(this.#due.get(at) ?? []), run]);
+    this.#scheduled.set(at, [...(this.#scheduled.get(at) ?? []), run]);
     return () => {
       cancelled = true;
     };
   }
 
-  /** Runs everything that is due until `end`, in milliseconds. */
+  /** Advances to `end`, in milliseconds, and runs the actions due until then. */
   runUntil(end: number): void {
     for (; this.#now < end;) {
       this.#now += 1;
-      const actions = this.#due.get(this.#now) ?? [];
-      this.#due.delete(this.#now);
+      const actions = this.#scheduled.get(this.#now) ?? [];
+      this.#scheduled.delete(this.#now);
       for (const action of actions) action();
     }
   }
--- a/bench/worst/engine.ts
+++ b/bench/worst/engine.ts
@@ -1,59 +1,59 @@
 import type { PromptPart } from '../../src/targets';
-import type { Calendar } from './calendar';
+import type { SimulatedClock } from './calendar';
 
-/** How fast an engine is, and how much it holds. Times in milliseconds. */
-export interface EngineFacts {
+/** Speed and capacity of a simulated engine. */
+export interface EngineParameters {
   readonly slots: number;
-  /** Tokens of all running requests and cached parts together. */
+  /** Capacity for the tokens of all running requests and cached parts together. */
   readonly memoryTokens: number;
-  readonly stepTime: number;
-  /** What each running request adds to a step. */
-  readonly stepTimePerRequest: number;
-  readonly tokensReadPerMillisecond: number;
-  /** Tokens of prompts that one step reads at most. */
-  readonly chunkTokens: number;
+  /** Duration of a step without requests. */
+  readonly stepMilliseconds: number;
+  /** Addition to the duration of a step for each running request. */
+  readonly stepMillisecondsPerRequest: number;
+  readonly prefillTokensPerMillisecond: number;
+  /** Maximum of prompt tokens that one step processes. */
+  readonly prefillChunkTokens: number;
 }
 
-/** The carriers' engines, as their pages describe them. */
-export const CARRIER_ENGINE: EngineFacts = {
+export const REFERENCE_ENGINE: EngineParameters = {
   slots: 6,
   memoryTokens: 71_792,
-  stepTime: 4.63,
-  stepTimePerRequest: 0.153,
-  tokensReadPerMillisecond: 37.9,
-  chunkTokens: 2048,
+  stepMilliseconds: 4.63,
+  stepMillisecondsPerRequest: 0.153,
+  prefillTokensPerMillisecond: 37.9,
+  prefillChunkTokens: 2048,
 };
 
 export interface EngineRequest {
   readonly parts: readonly PromptPart[];
-  /** Tokens to generate. */
   readonly outputTokens: number;
   readonly onEnd: () => void;
 }
 
-interface Running {
+interface RunningRequest {
   readonly request: EngineRequest;
-  unread: number;
-  generated: number;
+  /** Prompt tokens that are still to be processed. */
+  uncachedTokens: number;
+  generatedTokens: number;
 }
 
-/** An engine in simulated time: it batches, reads prompts piece by piece and caches their parts. */
+/** An engine in simulated time with continuous batching, chunked prefill and a prefix cache. */
 export class SimulatedEngine {
-  readonly #facts: EngineFacts;
-  readonly #calendar: Calendar;
+  readonly #parameters: EngineParameters;
+  readonly #clock: SimulatedClock;
   readonly #waiting: EngineRequest[] = [];
-  readonly #running = new Set<Running>();
-  /** Tokens by part, the latest used last. */
+  readonly #running = new Set<RunningRequest>();
+  /** Tokens by id of the prompt part, in LRU order: the most recently used last. */
   readonly #cache = new Map<string, number>();
   #cachedTokens = 0;
   #isStepping = false;
-  /** How many times longer each step takes. */
-  slowness = 1;
-  tokensRead = 0;
+  /** Multiplies the duration of each step. */
+  stepTimeFactor = 1;
+  prefilledTokens = 0;
 
-  constructor(facts: EngineFacts, calendar: Calendar) {
-    this.#facts = facts;
-    this.#calendar = calendar;
+  constructor(engineParameters: EngineParameters, clock: SimulatedClock) {
+    this.#parameters = engineParameters;
+    this.#clock = clock;
   }
 
   send(request: EngineRequest): void {
@@ -66,11 +66,14 @@
     this.#admit();
     if (this.#running.size === 0) return;
     this.#isStepping = true;
-    const { stepTime, stepTimePerRequest, tokensReadPerMillisecond } = this.#facts;
-    const read = this.#read();
-    const time =
-      stepTime + stepTimePerRequest * this.#running.size + read / tokensReadPerMillisecond;
-    this.#calendar.after(time * this.slowness, () => {
+    const { stepMilliseconds, stepMillisecondsPerRequest, prefillTokensPerMillisecond } =
+      this.#parameters;
+    const prefilled = this.#prefill();
+    const duration =
+      stepMilliseconds +
+      stepMillisecondsPerRequest * this.#running.size +
+      prefilled / prefillTokensPerMillisecond;
+    this.#clock.after(duration * this.stepTimeFactor, () => {
       this.#isStepping = false;
       this.#generate();
       this.#step();
@@ -78,62 +81,66 @@
   }
 
   #admit(): void {
-    while (this.#running.size < this.#facts.slots) {
+    while (this.#running.size < this.#parameters.slots) {
       const request = this.#waiting.shift();
       if (request === undefined) return;
-      this.#running.add({ request, unread: this.#unreadOf(request.parts), generated: 0 });
+      this.#running.add({
+        request,
+        uncachedTokens: this.#uncachedTokensOf(request.parts),
+        generatedTokens: 0,
+      });
     }
   }
 
-  #unreadOf(parts: readonly PromptPart[]): number {
-    let isHeld = true;
-    let unread = 0;
+  #uncachedTokensOf(parts: readonly PromptPart[]): number {
+    let isPrefixCached = true;
+    let uncachedTokens = 0;
     for (const { id, tokens } of parts) {
-      const held = isHeld ? Math.min(this.#cache.get(id) ?? 0, tokens) : 0;
-      unread += tokens - held;
-      if (held < tokens) isHeld = false;
+      const cached = isPrefixCached ? Math.min(this.#cache.get(id) ?? 0, tokens) : 0;
+      uncachedTokens += tokens - cached;
+      if (cached < tokens) isPrefixCached = false;
     }
-    return unread;
+    return uncachedTokens;
   }
 
-  /** Reads a chunk of the oldest prompt that is not read whole. */
-  #read(): number {
+  /** Processes a chunk of the oldest prompt with tokens left; returns the number of tokens. */
+  #prefill(): number {
     for (const running of this.#running) {
-      if (running.unread === 0) continue;
-      const read = Math.min(running.unread, this.#facts.chunkTokens);
-      running.unread -= read;
-      this.tokensRead += read;
-      return read;
+      if (running.uncachedTokens === 0) continue;
+      const chunk = Math.min(running.uncachedTokens, this.#parameters.prefillChunkTokens);
+      running.uncachedTokens -= chunk;
+      this.prefilledTokens += chunk;
+      return chunk;
     }
     return 0;
   }
 
   #generate(): void {
     for (const running of [...this.#running]) {
-      if (running.unread > 0) continue;
-      running.generated += 1;
-      if (running.generated < running.request.outputTokens) continue;
+      if (running.uncachedTokens > 0) continue;
+      running.generatedTokens += 1;
+      if (running.generatedTokens < running.request.outputTokens) continue;
       this.#running.delete(running);
-      this.#keep(running.request);
+      this.#cacheParts(running.request);
       running.request.onEnd();
     }
   }
 
-  #keep({ parts, outputTokens }: EngineRequest): void {
+  #cacheParts({ parts, outputTokens }: EngineRequest): void {
     parts.forEach(({ id, tokens }, index) => {
-      this.#forget(id);
-      const held = index === parts.length - 1 ? tokens + outputTokens : tokens;
-      this.#cache.set(id, held);
-      this.#cachedTokens += held;
+      this.#evict(id);
+      const cached = index === parts.length - 1 ? tokens + outputTokens : tokens;
+      this.#cache.set(id, cached);
+      this.#cachedTokens += cached;
     });
     const inUse = [...this.#running].reduce((sum, { request }) => sum + tokensOf(request), 0);
     for (const id of this.#cache.keys()) {
-      if (this.#cachedTokens + inUse <= this.#facts.memoryTokens) break;
-      this.#forget(id);
+      if (this.#cachedTokens + inUse <= this.#parameters.memoryTokens) break;
+      this.#evict(id);
     }
   }
 
-  #forget(id: string): void {
+  #evict(id: string): void {
     this.#cachedTokens -= this.#cache.get(id) ?? 0;
     this.#cache.delete(id);
   }
--- a/bench/worst/fleet.ts
+++ b/bench/worst/fleet.ts
@@ -11,78 +11,77 @@
   TargetDirectory,
   type TargetState,
 } from '../../src/targets';
-import type { Calendar } from './calendar';
-import { type EngineFacts, SimulatedEngine } from './engine';
+import type { SimulatedClock } from './calendar';
+import { type EngineParameters, SimulatedEngine } from './engine';
 
 const SERVICE = 'engines';
 
 const ZONES = ['a', 'b', 'c'];
 
-/** Time from a gateway to an engine and back; milliseconds. */
-const WAY_MILLISECONDS = { near: 1, far: 4 } as const;
+/** Round-trip time between a gateway and an engine. */
+const ROUND_TRIP_MILLISECONDS = { sameZone: 1, otherZone: 4 } as const;
 
 export interface FleetOptions {
-  readonly calendar: Calendar;
+  readonly clock: SimulatedClock;
   readonly engines: number;
   readonly gateways: number;
-  readonly facts: EngineFacts;
+  readonly engineParameters: EngineParameters;
   readonly switches: DecisionSwitches;
-  /** Pause between two times at which gateways learn what the others have under way; milliseconds. */
-  readonly loadPause: number;
+  /** Interval at which gateways exchange their numbers of requests in flight. */
+  readonly loadIntervalMilliseconds: number;
   readonly seed: number;
 }
 
-/** A turn as a gateway gets it. */
 export interface SimulatedTurn {
   readonly parts: readonly PromptPart[];
   readonly lastTarget: string | undefined;
-  readonly heldTokens: number;
+  readonly cachedTokens: number;
   readonly outputTokens: number;
-  /** Whether it is the first of its program. */
+  /** Whether this is the first turn of its program. */
   readonly startsProgram: boolean;
   readonly onEnd: (target: string) => void;
-  /** Told of a refusal, with the pause that it asks for; milliseconds. */
-  readonly onRefused: (pause: number) => void;
+  /** Called if the turn is refused, with the time after which to retry. */
+  readonly onRefused: (retryAfterMilliseconds: number) => void;
 }
 
-/** One gateway with what it knows; the decisions are the product's own. */
+/** Target state and selection of one gateway; both are the production classes. */
 interface SimulatedGateway {
   readonly targets: TargetDirectory;
   readonly chooser: TargetChooser;
   readonly availabilityZone: string;
 }
 
-/** Gateways before engines, in simulated time. */
+/** Gateways and engines in simulated time. */
 export class Fleet {
   readonly engines = new Map<string, SimulatedEngine>();
   readonly #options: FleetOptions;
   readonly #gateways: readonly SimulatedGateway[];
-  readonly #placers;
+  readonly #placementPolicies;
   readonly #random: RandomSource;
 
   constructor(options: FleetOptions) {
     this.#options = options;
     this.#random = new SeededRandom(options.seed);
-    this.#placers = createPlacers(options.switches);
+    this.#placementPolicies = createPlacers(options.switches);
     for (let index = 0; index < options.engines; index += 1) {
-      this.engines.set(`e${index}`, new SimulatedEngine(options.facts, options.calendar));
+      this.engines.set(`e${index}`, new SimulatedEngine(options.engineParameters, options.clock));
     }
     this.#gateways = Array.from({ length: options.gateways }, (_, index) =>
       this.#createGateway(index),
     );
-    if (options.switches['shared-loads']) this.#tellLoads();
+    if (options.switches['shared-loads']) this.#shareLoads();
   }
 
-  /** Takes engines off the list of all gateways; what they have under way ends. */
-  remove(isGone: (index: number) => boolean): void {
+  /** Removes engines from the target list of all gateways; their requests in flight still complete. */
+  removeEngines(isRemoved: (index: number) => boolean): void {
     for (const { targets } of this.#gateways) {
-      targets.take(this.#list().filter((_, index) => !isGone(index)));
+      targets.take(this.#listTargets().filter((_, index) => !isRemoved(index)));
     }
   }
 
-  /** Places a turn from one of the gateways. */
+  /** Sends a turn through a random gateway. */
   send(turn: SimulatedTurn): void {
-    const { calendar } = this.#options;
+    const { clock } = this.#options;
     const gateway = this.#gateways[Math.floor(this.#random.fraction() * this.#gateways.length)];
     if (gateway === undefined) return;
     const refusal = this.#refuse(gateway, turn);
@@ -90,27 +89,34 @@
       turn.onRefused((refusal.retryAfterSeconds ?? 0) * 1000);
       return;
     }
-    const { parts, lastTarget, heldTokens, outputTokens } = turn;
+    const { parts, lastTarget, cachedTokens, outputTokens } = turn;
     const promptTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
-    const placed = gateway.chooser.choose({
+    const choice = gateway.chooser.choose({
       service: SERVICE,
-      placer: this.#placers.engine,
-      placement: { parts, promptTokens, lastTarget, heldTokens },
+      placer: this.#placementPolicies.engine,
+      placement: { parts, promptTokens, lastTarget, heldTokens: cachedTokens },
       tried: new Set(),
       connectionLimit: Infinity,
     });
-    if (placed === undefined) return;
-    const { state } = placed;
+    if (choice === undefined) return;
+    const { state } = choice;
     state.inFlight += 1;
-    const isNear = state.target.availabilityZone === gateway.availabilityZone;
-    const way = isNear ? WAY_MILLISECONDS.near : WAY_MILLISECONDS.far;
-    const end = () => {
+    const isSameZone = state.target.availabilityZone === gateway.availabilityZone;
+    const roundTrip = isSameZone
+      ? ROUND_TRIP_MILLISECONDS.sameZone
+      : ROUND_TRIP_MILLISECONDS.otherZone;
+    const complete = () => {
       state.inFlight -= 1;
-      gateway.chooser.noteParts(state, parts, outputTokens, this.#options.facts.memoryTokens);
+      gateway.chooser.noteParts(
+        state,
+        parts,
+        outputTokens,
+        this.#options.engineParameters.memoryTokens,
+      );
       turn.onEnd(state.target.id);
     };
-    calendar.after(way / 2, () => {
-      const onEnd = () => calendar.after(way / 2, end);
+    clock.after(roundTrip / 2, () => {
+      const onEnd = () => clock.after(roundTrip / 2, complete);
       this.engines.get(state.target.id)?.send({ parts, outputTokens, onEnd });
     });
   }
@@ -122,30 +128,30 @@
   }
 
   #createGateway(index: number): SimulatedGateway {
-    const { calendar, seed } = this.#options;
-    const parts = { clock: calendar, random: new SeededRandom(seed * 1000 + index) };
+    const { clock, seed } = this.#options;
+    const context = { clock, random: new SeededRandom(seed * 1000 + index) };
     const targets = new TargetDirectory({
-      ...parts,
+      ...context,
       logger: createSilentLogger(),
       source: { list: () => Promise.resolve([]) },
     });
-    targets.take(this.#list());
+    targets.take(this.#listTargets());
     const availabilityZone = zoneAt(index);
-    const chooser = new TargetChooser({ ...parts, targets, availabilityZone });
+    const chooser = new TargetChooser({ ...context, targets, availabilityZone });
     return { targets, chooser, availabilityZone };
   }
 
-  #list() {
-    const { slots } = this.#options.facts;
+  #listTargets() {
+    const { slots } = this.#options.engineParameters;
     return [...this.engines.keys()].map((id, index) => ({
       ...{ id, service: SERVICE, address: `${id}:80`, slots, draining: false },
       availabilityZone: zoneAt(index),
     }));
   }
 
-  /** Each gateway learns what all others had under way just now, and keeps that until the next time. */
-  #tellLoads(): void {
-    const { calendar, loadPause } = this.#options;
+  /** Sets at each gateway the requests in flight from the others, and repeats after the interval. */
+  #shareLoads(): void {
+    const { clock, loadIntervalMilliseconds } = this.#options;
     const totals = new Map<string, number>();
     const statesOf = ({ targets }: SimulatedGateway): readonly TargetState[] => [...targets.all()];
     for (const state of this.#gateways.flatMap(statesOf)) {
@@ -158,8 +164,8 @@
       }
       gateway.targets.noteLoads();
     }
-    calendar.after(loadPause, () => {
-      this.#tellLoads();
+    clock.after(loadIntervalMilliseconds, () => {
+      this.#shareLoads();
     });
   }
 }
--- a/bench/worst/loads.ts
+++ b/bench/worst/loads.ts
@@ -1,112 +1,111 @@
-import type { EngineFacts } from './engine';
-import { CARRIER_ENGINE } from './engine';
+import type { EngineParameters } from './engine';
+import { REFERENCE_ENGINE } from './engine';
 import type { Fleet } from './fleet';
 import type { Workload } from './workload';
 
-/** A load at its worst, in simulated time. */
-export interface WorstLoad {
+/** A worst-case load in simulated time. */
+export interface LoadScenario {
   readonly name: string;
-  /** What it stands for. */
-  readonly what: string;
-  readonly facts: EngineFacts;
-  /** Programs a second as a multiple of the usual rate; `now` in milliseconds. */
-  readonly rate: (now: number) => number;
-  /** Milliseconds in which programs begin. */
-  readonly length: number;
-  /** What happens besides, by the time at which it does; milliseconds. */
+  readonly description: string;
+  readonly engineParameters: EngineParameters;
+  /** Multiple of the base rate of new programs at a simulated time; milliseconds. */
+  readonly rateFactor: (now: number) => number;
+  /** Time during which programs start. */
+  readonly durationMilliseconds: number;
+  /** Events at a simulated time in milliseconds. */
   readonly events?: readonly {
     readonly at: number;
-    readonly act: (fleet: Fleet, workload: Workload) => void;
+    readonly apply: (fleet: Fleet, workload: Workload) => void;
   }[];
 }
 
-const LENGTH = 12_000;
+const DURATION_MILLISECONDS = 12_000;
 
-function between(from: number, to: number, rate: number): WorstLoad['rate'] {
-  return (now) => (now >= from && now < to ? rate : 1);
+function factorBetween(from: number, to: number, factor: number): LoadScenario['rateFactor'] {
+  return (now) => (now >= from && now < to ? factor : 1);
 }
 
-function slowDown(share: number, times: number) {
+function slowEngines(share: number, factor: number) {
   return (fleet: Fleet) => {
     const engines = [...fleet.engines.values()];
     for (const engine of engines.slice(0, Math.round(engines.length * share))) {
-      engine.slowness = times;
+      engine.stepTimeFactor = factor;
     }
   };
 }
 
-export const WORST_LOADS: readonly WorstLoad[] = [
+export const LOAD_SCENARIOS: readonly LoadScenario[] = [
   {
     name: 'usual-rate',
-    what: 'no trouble, for comparison',
-    facts: CARRIER_ENGINE,
-    rate: () => 1,
-    length: LENGTH,
+    description: 'base rate without faults, for comparison',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: () => 1,
+    durationMilliseconds: DURATION_MILLISECONDS,
   },
   {
     name: 'burst',
-    what: 'twice the programs for three seconds',
-    facts: CARRIER_ENGINE,
-    rate: between(4000, 7000, 2),
-    length: LENGTH,
+    description: 'twice the base rate for three seconds',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: factorBetween(4000, 7000, 2),
+    durationMilliseconds: DURATION_MILLISECONDS,
   },
   {
     name: 'lasting-burst',
-    what: 'one and a half times the programs until the end',
-    facts: CARRIER_ENGINE,
-    rate: between(4000, LENGTH, 1.5),
-    length: LENGTH,
+    description: 'one and a half times the base rate until the end',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: factorBetween(4000, DURATION_MILLISECONDS, 1.5),
+    durationMilliseconds: DURATION_MILLISECONDS,
   },
   {
     name: 'beyond-capacity',
-    what: 'four times the programs for two seconds',
-    facts: CARRIER_ENGINE,
-    rate: between(4000, 6000, 4),
-    length: LENGTH,
+    description: 'four times the base rate for two seconds',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: factorBetween(4000, 6000, 4),
+    durationMilliseconds: DURATION_MILLISECONDS,
   },
   {
     name: 'return-of-all',
-    what: 'sixty programs at one moment, as after a loss of all power',
-    facts: CARRIER_ENGINE,
-    rate: () => 0.5,
-    length: LENGTH,
+    description: 'sixty programs start at once, as after a power failure of the whole site',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: () => 0.5,
+    durationMilliseconds: DURATION_MILLISECONDS,
     events: [
       {
         at: 4000,
-        act: (_fleet, workload) => {
-          for (let program = 0; program < 60; program += 1) workload.begin();
+        apply: (_fleet, workload) => {
+          for (let program = 0; program < 60; program += 1) workload.startProgram();
         },
       },
     ],
   },
   {
     name: 'half-a-zone-gone',
-    what: 'every second engine of one zone leaves the list',
-    facts: CARRIER_ENGINE,
-    rate: () => 1.2,
-    length: LENGTH,
+    description: 'every second engine of one zone is removed from the target list',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: () => 1.2,
+    durationMilliseconds: DURATION_MILLISECONDS,
     events: [
       {
         at: 4000,
-        act: (fleet) => {
-          fleet.remove((index) => index % 6 === 0);
+        apply: (fleet) => {
+          fleet.removeEngines((index) => index % 6 === 0);
         },
       },
     ],
   },
   {
     name: 'slow-engines',
-    what: 'a quarter of the engines takes three times as long',
-    facts: CARRIER_ENGINE,
-    rate: () => 1,
-    length: LENGTH,
-    events: [{ at: 4000, act: slowDown(0.25, 3) }],
+    description: 'steps of a quarter of the engines take three times as long',
+    engineParameters: REFERENCE_ENGINE,
+    rateFactor: () => 1,
+    durationMilliseconds: DURATION_MILLISECONDS,
+    events: [{ at: 4000, apply: slowEngines(0.25, 3) }],
   },
   {
     name: 'small-memory',
-    what: 'engines hold a third of the prompts in use',
-    facts: { ...CARRIER_ENGINE, memoryTokens: 24_000 },
-    rate: () => 1.2,
-    length: LENGTH,
+    description: 'engine caches hold a third of the prompts in use',
+    engineParameters: { ...REFERENCE_ENGINE, memoryTokens: 24_000 },
+    rateFactor: () => 1.2,
+    durationMilliseconds: DURATION_MILLISECONDS,
   },
 ];
--- a/bench/worst/run.ts
+++ b/bench/worst/run.ts
@@ -1,107 +1,132 @@
 import { ALL_DECISIONS, type DecisionSwitches } from '../../src/decisions';
-import { Calendar } from './calendar';
+import { SimulatedClock } from './calendar';
 import { Fleet } from './fleet';
-import { WORST_LOADS, type WorstLoad } from './loads';
-import { CARRIER_KINDS, type Tally, Workload } from './workload';
+import { LOAD_SCENARIOS, type LoadScenario } from './loads';
+import { REFERENCE_KINDS, type ProgramTally, Workload } from './workload';
 
-/** Time after the last program has begun in which it may end; milliseconds. */
-const ENDING_MILLISECONDS = 30_000;
+/** Simulated time after the last start in which programs may complete. */
+const COMPLETION_MILLISECONDS = 30_000;
 
-/** A fleet of a size at which decisions by many gateways collide. */
-const ENGINES = 12;
-const GATEWAYS = 18;
+// A size at which concurrent decisions of several gateways conflict.
+const ENGINE_COUNT = 12;
+const GATEWAY_COUNT = 18;
 
-/** Programs a second that these engines bear: nearly all end in time. */
-const USUAL_RATE = 30;
+/** Rate at which nearly all programs of the engines above meet their objectives. */
+const BASE_PROGRAMS_PER_SECOND = 30;
 
-/** Ways to decide that are compared. */
 export interface Policy {
   readonly name: string;
   readonly switches: DecisionSwitches;
-  /** Pause between two times at which gateways learn each other's loads; milliseconds. */
-  readonly loadPause: number;
+  /** Interval at which gateways exchange their loads. */
+  readonly loadIntervalMilliseconds: number;
 }
 
-const LOAD_PAUSE = 20;
+const LOAD_INTERVAL_MILLISECONDS = 20;
 
-/** Pause that gateways had before they told their loads through a coordinator; milliseconds. */
-const OLD_LOAD_PAUSE = 250;
+const INFREQUENT_LOAD_INTERVAL_MILLISECONDS = 250;
 
-function policy(name: string, switches: Partial<DecisionSwitches> = {}): Policy {
-  return { name, switches: { ...ALL_DECISIONS, ...switches }, loadPause: LOAD_PAUSE };
+function createPolicy(name: string, switches: Partial<DecisionSwitches> = {}): Policy {
+  return {
+    name,
+    switches: { ...ALL_DECISIONS, ...switches },
+    loadIntervalMilliseconds: LOAD_INTERVAL_MILLISECONDS,
+  };
 }
 
-/** Nothing is refused, so that a comparison shows what the placement alone does. */
-function placement(name: string, switches: Partial<DecisionSwitches> = {}): Policy {
-  return policy(name, { 'overload-refusals': false, ...switches });
+/** Refuses nothing, so that a comparison shows the effect of the placement alone. */
+function createPolicyWithoutRefusals(
+  name: string,
+  switches: Partial<DecisionSwitches> = {},
+): Policy {
+  return createPolicy(name, { 'overload-refusals': false, ...switches });
 }
 
 export const POLICIES: readonly Policy[] = [
-  policy('usual'),
-  placement('without-refusals'),
-  { ...placement('old-loads'), loadPause: OLD_LOAD_PAUSE },
-  placement('without-shared-loads', { 'shared-loads': false }),
-  placement('without-held-parts', { 'held-parts': false }),
-  placement('without-last-target', { 'last-target': false }),
-  placement('round-robin', { 'placement-policy': 'round-robin' }),
-  placement('least-load', { 'placement-policy': 'least-load' }),
-  placement('prefix-affinity', { 'placement-policy': 'prefix-affinity' }),
+  createPolicy('usual'),
+  createPolicyWithoutRefusals('without-refusals'),
+  {
+    ...createPolicyWithoutRefusals('old-loads'),
+    loadIntervalMilliseconds: INFREQUENT_LOAD_INTERVAL_MILLISECONDS,
+  },
+  createPolicyWithoutRefusals('without-shared-loads', { 'shared-loads': false }),
+  createPolicyWithoutRefusals('without-held-parts', { 'held-parts': false }),
+  createPolicyWithoutRefusals('without-last-target', { 'last-target': false }),
+  createPolicyWithoutRefusals('round-robin', { 'placement-policy': 'round-robin' }),
+  createPolicyWithoutRefusals('least-load', { 'placement-policy': 'least-load' }),
+  createPolicyWithoutRefusals('prefix-affinity', { 'placement-policy': 'prefix-affinity' }),
 ];
 
-/** What came of a load under a policy. */
-export interface Outcome extends Tally {
+export interface SimulationResult extends ProgramTally {
   readonly load: string;
   readonly policy: string;
-  /** Prompt tokens that engines have read, for each program. */
-  readonly tokensRead: number;
+  /** Prompt tokens that the engines processed for each program on average. */
+  readonly prefilledTokensPerProgram: number;
 }
 
-/** Plays a load under a policy; equal seeds give equal outcomes. */
-export function play(
-  load: WorstLoad,
-  { name, switches, loadPause }: Policy,
+/** Simulates a load under a policy; equal seeds give equal results. */
+export function simulate(
+  load: LoadScenario,
+  { name, switches, loadIntervalMilliseconds }: Policy,
   seed: number,
-): Outcome {
-  const calendar = new Calendar();
-  const { facts } = load;
-  const sizes = { engines: ENGINES, gateways: GATEWAYS };
-  const fleet = new Fleet({ ...sizes, calendar, facts, switches, loadPause, seed });
-  const workload = new Workload({ calendar, fleet, facts, kinds: CARRIER_KINDS, seed });
-  workload.beginMany(load.length, (now) => USUAL_RATE * load.rate(now));
-  for (const { at, act } of load.events ?? []) {
-    calendar.after(at, () => {
-      act(fleet, workload);
+): SimulationResult {
+  const clock = new SimulatedClock();
+  const { engineParameters } = load;
+  const sizes = { engines: ENGINE_COUNT, gateways: GATEWAY_COUNT };
+  const fleet = new Fleet({
+    ...sizes,
+    clock,
+    engineParameters,
+    switches,
+    loadIntervalMilliseconds,
+    seed,
+  });
+  const workload = new Workload({ clock, fleet, engineParameters, kinds: REFERENCE_KINDS, seed });
+  workload.startAtRate(
+    load.durationMilliseconds,
+    (now) => BASE_PROGRAMS_PER_SECOND * load.rateFactor(now),
+  );
+  for (const { at, apply } of load.events ?? []) {
+    clock.after(at, () => {
+      apply(fleet, workload);
     });
   }
-  calendar.runUntil(load.length + ENDING_MILLISECONDS);
-  const read = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.tokensRead, 0);
+  clock.runUntil(load.durationMilliseconds + COMPLETION_MILLISECONDS);
+  const prefilledTokens = [...fleet.engines.values()].reduce(
+    (sum, engine) => sum + engine.prefilledTokens,
+    0,
+  );
   const tally = workload.tally();
-  return { load: load.name, policy: name, ...tally, tokensRead: Math.round(read / tally.begun) };
+  return {
+    load: load.name,
+    policy: name,
+    ...tally,
+    prefilledTokensPerProgram: Math.round(prefilledTokens / tally.started),
+  };
 }
 
-/** Prints a table of all loads under all policies, means over the seeds. */
+/** Prints a Markdown table of all loads under all policies; values are means over the seeds. */
 export function benchWorst(seeds: readonly number[]): void {
-  process.stdout.write('| Load | Policy | In time | p50 | p99 | Tokens read a program |\n');
+  process.stdout.write('| Load | Policy | On time | p50 | p99 | Prefilled tokens per program |\n');
   process.stdout.write('| --- | --- | --- | --- | --- | --- |\n');
-  for (const load of WORST_LOADS) {
-    for (const one of POLICIES) {
-      const outcomes = seeds.map((seed) => play(load, one, seed));
-      process.stdout.write(`${formatOutcomes(outcomes)}\n`);
+  for (const load of LOAD_SCENARIOS) {
+    for (const policy of POLICIES) {
+      const results = seeds.map((seed) => simulate(load, policy, seed));
+      process.stdout.write(`${formatRow(results)}\n`);
     }
   }
 }
 
-function formatOutcomes(outcomes: readonly Outcome[]): string {
-  const mean = (read: (outcome: Outcome) => number) =>
-    outcomes.reduce((sum, outcome) => sum + read(outcome), 0) / outcomes.length;
-  const [first] = outcomes;
+function formatRow(results: readonly SimulationResult[]): string {
+  const mean = (read: (result: SimulationResult) => number) =>
+    results.reduce((sum, result) => sum + read(result), 0) / results.length;
+  const [first] = results;
   const cells = [
     first?.load,
     first?.policy,
-    `${(mean(({ inTime, begun }) => inTime / begun) * 100).toFixed(1)}%`,
+    `${(mean(({ onTime, started }) => onTime / started) * 100).toFixed(1)}%`,
     mean(({ p50 }) => p50).toFixed(2),
     mean(({ p99 }) => p99).toFixed(2),
-    Math.round(mean(({ tokensRead }) => tokensRead)),
+    Math.round(mean(({ prefilledTokensPerProgram }) => prefilledTokensPerProgram)),
   ];
   return `| ${cells.join(' | ')} |`;
 }
