--- a/tests/adoption.test.ts
+++ b/tests/adoption.test.ts
@@ -4,18 +4,21 @@
 import { Caller } from './caller';
 import { startTestSystem } from './local-system';
 
-describe('services that have not moved yet', () => {
+describe('services that martenbay does not manage', () => {
   const clock = new SystemClock();
   let system: LocalSystem;
-  let old: PlainServer;
+  let legacyServer: PlainServer;
   let caller: Caller;
 
   beforeAll(async () => {
     const [address] = await findFreeAddresses(['127.0.0.1']);
     if (address === undefined) throw new Error('no free address');
-    const text = formatAddress(address);
-    old = new PlainServer(plainSettingsSchema.parse({ address: text, name: 'old-script' }), clock);
-    await old.start();
+    const legacyAddress = formatAddress(address);
+    legacyServer = new PlainServer(
+      plainSettingsSchema.parse({ address: legacyAddress, name: 'old-script' }),
+      clock,
+    );
+    await legacyServer.start();
     system = await startTestSystem(13, {
       extraFiles: [
         {
@@ -25,7 +28,7 @@
 name = "lounge-lists"
 type = "plain"
 adoption = "pass-through"
-old-address = "${text}"
+old-address = "${legacyAddress}"
 
 [[service]]
 name = "payroll"
@@ -37,7 +40,7 @@
 type = "engine"
 model = "old-model"
 adoption = "pass-through"
-old-address = "${text}"
+old-address = "${legacyAddress}"
 `,
         },
       ],
@@ -47,16 +50,16 @@
 
   afterAll(async () => {
     await system.lifeCycle.stop();
-    await old.stop();
+    await legacyServer.stop();
   });
 
-  it('pass untouched to their old address', async () => {
-    const reply = await caller.send('/services/lounge-lists/lists/4?day=2', {
+  it('are forwarded unchanged to the old address with pass-through', async () => {
+    const response = await caller.send('/services/lounge-lists/lists/4?day=2', {
       method: 'PUT',
       body: 'guests=3',
     });
-    expect(reply.status).toBe(200);
-    expect(JSON.parse(reply.text)).toMatchObject({
+    expect(response.status).toBe(200);
+    expect(JSON.parse(response.text)).toMatchObject({
       service: 'old-script',
       method: 'PUT',
       path: '/lists/4?day=2',
@@ -64,23 +67,23 @@
     });
   });
 
-  it('pass whole turns to an old engine', async () => {
+  it('are forwarded complete turns with pass-through if they are engines', async () => {
     const body = { model: 'old-model', messages: [{ role: 'user', content: 'x' }] };
-    const reply = await caller.send('/v1/chat/completions', { body });
-    expect(JSON.parse(reply.text)).toMatchObject({
+    const response = await caller.send('/v1/chat/completions', { body });
+    expect(JSON.parse(response.text)).toMatchObject({
       path: '/v1/chat/completions',
       body: JSON.stringify(body),
     });
   });
 
-  it('are refused as not run when they are not ours', async () => {
-    const reply = await caller.send('/services/payroll/run', { body: {} });
-    expect(reply).toMatchObject({ status: 404, outcome: 'not-run' });
+  it('are refused with outcome not-run if their adoption is not-ours', async () => {
+    const response = await caller.send('/services/payroll/run', { body: {} });
+    expect(response).toMatchObject({ status: 404, outcome: 'not-run' });
   });
 
-  it('tell whether the call ran when the old address is gone', async () => {
-    await old.stop();
-    const reply = await caller.send('/services/lounge-lists/lists/4', { method: 'GET' });
-    expect(reply).toMatchObject({ status: 502, outcome: 'not-run' });
+  it('give 502 with outcome not-run if nothing listens at the old address', async () => {
+    await legacyServer.stop();
+    const response = await caller.send('/services/lounge-lists/lists/4', { method: 'GET' });
+    expect(response).toMatchObject({ status: 502, outcome: 'not-run' });
   });
 });
--- a/tests/blocked-output.test.ts
+++ b/tests/blocked-output.test.ts
@@ -6,43 +6,45 @@
 import { type Address, SystemClock, delay, formatAddress } from '../src/core';
 import { findFreeAddresses } from '../src/local';
 
-/** Requests at once. */
-const BATCH = 500;
+const BATCH_SIZE = 500;
 
 const POLL_MILLISECONDS = 50;
 
 const agent = new Agent({ keepAlive: true, maxSockets: 16 });
 
-function ask({ host, port }: Address, path: string): Promise<{ status: number; body: string }> {
+function sendRequest(
+  { host, port }: Address,
+  path: string,
+): Promise<{ status: number; body: string }> {
   return new Promise((resolve, reject) => {
-    const sent = request({ host, port, path, agent }, (answer: IncomingMessage) => {
+    const outgoing = request({ host, port, path, agent }, (response: IncomingMessage) => {
       const chunks: Buffer[] = [];
-      answer.on('data', (chunk: Buffer) => chunks.push(chunk));
-      answer.once('end', () => {
-        resolve({ status: answer.statusCode ?? 0, body: Buffer.concat(chunks).toString() });
+      response.on('data', (chunk: Buffer) => chunks.push(chunk));
+      response.once('end', () => {
+        resolve({ status: response.statusCode ?? 0, body: Buffer.concat(chunks).toString() });
       });
     });
-    sent.once('error', reject);
-    sent.end();
+    outgoing.once('error', reject);
+    outgoing.end();
   });
 }
 
-describe('a gateway whose standard output nobody reads', () => {
+describe('a gateway whose standard output is not read', () => {
   const folder = mkdtempSync(join(tmpdir(), 'martenbay-output-'));
   const settings = join(folder, 'settings.toml');
   let gateway: ChildProcess;
-  let callers: Address;
-  let metrics: Address;
+  let callerAddress: Address;
+  let metricsAddress: Address;
 
   beforeAll(async () => {
     const addresses = [...(await findFreeAddresses(Array.from({ length: 6 }, () => '127.0.0.1')))];
     const next = () => {
       const address = addresses.shift();
-      if (address === undefined) throw new Error('too few free addresses');
+      if (address === undefined) throw new Error('expected six free addresses, found fewer');
       return address;
     };
-    callers = next();
-    metrics = next();
+    callerAddress = next();
+    metricsAddress = next();
     const operators = formatAddress(next());
     writeFileSync(
       settings,
@@ -55,10 +57,10 @@
 tolerated-losses = 0
 stop-seconds = 1
 [listen]
-callers = "${formatAddress(callers)}"
+callers = "${formatAddress(callerAddress)}"
 readiness = "${formatAddress(next())}"
 operators = "${operators}"
-metrics = "${formatAddress(metrics)}"
+metrics = "${formatAddress(metricsAddress)}"
 [target-list]
 address = "${formatAddress(next())}"
 calls-per-second = 10
@@ -66,11 +68,11 @@
     );
     gateway = spawn(process.execPath, ['dist/platform-gateway.cjs'], {
       env: { MARTENBAY_NODE_FILE: settings },
-      // The pipe has a reader that never reads.
+      // Nothing reads the pipe, so that writes to it block.
       stdio: ['ignore', 'pipe', 'ignore'],
     });
     for (;;) {
-      const isUp = await ask(metrics, '/metrics').then(
+      const isUp = await sendRequest(metricsAddress, '/metrics').then(
         () => true,
         () => false,
       );
@@ -87,22 +89,23 @@
     rmSync(folder, { recursive: true });
   });
 
-  /** Lines that were dropped so far. */
   const countDropped = async () => {
-    const { body } = await ask(metrics, '/metrics');
+    const { body } = await sendRequest(metricsAddress, '/metrics');
     const count = /^martenbay_log_lines_dropped_total (\d+)$/m.exec(body)?.[1] ?? '0';
     return Number(count);
   };
 
-  it('answers every request, until it drops lines and beyond', async () => {
+  it('answers every request before and after it starts to drop log lines', async () => {
     const statuses = new Set<number>();
-    const askBatch = async () => {
-      const asked = Array.from({ length: BATCH }, () => ask(callers, '/somewhere/a'));
-      for (const { status } of await Promise.all(asked)) statuses.add(status);
+    const sendBatch = async () => {
+      const requests = Array.from({ length: BATCH_SIZE }, () =>
+        sendRequest(callerAddress, '/somewhere/a'),
+      );
+      for (const { status } of await Promise.all(requests)) statuses.add(status);
     };
-    // How much the system takes of an output that nobody reads differs from host to host.
-    while ((await countDropped()) === 0) await askBatch();
-    await askBatch();
+    // The capacity of the pipe differs between hosts.
+    while ((await countDropped()) === 0) await sendBatch();
+    await sendBatch();
     expect(statuses).toEqual(new Set([503]));
   });
 });
--- a/tests/caller.ts
+++ b/tests/caller.ts
@@ -1,9 +1,9 @@
 import { request } from 'undici';
 import { LOCAL_KEY } from '../src/local';
 
-/** What a caller got. */
-export interface Reply {
+export interface CallResponse {
   readonly status: number;
+  /** Header `martenbay-outcome`. */
   readonly outcome: string | undefined;
   readonly retryAfter: string | undefined;
   readonly text: string;
@@ -16,7 +16,7 @@
   readonly key?: string;
 }
 
-/** A caller of one entry. */
+/** HTTP client of one entry. */
 export class Caller {
   readonly #url: string;
 
@@ -24,17 +24,17 @@
     this.#url = url;
   }
 
-  async send(path: string, options: CallOptions = {}): Promise<Reply> {
+  async send(path: string, options: CallOptions = {}): Promise<CallResponse> {
     const { method = 'POST', headers = {}, body, key = LOCAL_KEY } = options;
-    const answer = await request(`${this.#url}${path}`, {
+    const response = await request(`${this.#url}${path}`, {
       method,
       headers: { authorization: `Bearer ${key}`, 'content-type': 'application/json', ...headers },
       body: typeof body === 'object' ? JSON.stringify(body) : (body ?? null),
     });
-    const text = await answer.body.text();
-    const { 'martenbay-outcome': outcome, 'retry-after': retryAfter } = answer.headers;
+    const text = await response.body.text();
+    const { 'martenbay-outcome': outcome, 'retry-after': retryAfter } = response.headers;
     return {
-      status: answer.statusCode,
+      status: response.statusCode,
       outcome: outcome?.toString(),
       retryAfter: retryAfter?.toString(),
       text,
@@ -42,45 +42,45 @@
   }
 
   async createProgram(body: object = {}): Promise<string> {
-    const reply = await this.send('/v1/programs', { body });
-    return (JSON.parse(reply.text) as { readonly id: string }).id;
+    const response = await this.send('/v1/programs', { body });
+    return (JSON.parse(response.text) as { readonly id: string }).id;
   }
 
-  /** A turn that sends only its new message. */
-  turn(
+  /** Sends a turn with only its new message. */
+  sendTurn(
     program: string,
     sequence: number,
     content: string,
     extra: object = {},
     headers: Readonly<Record<string, string>> = {},
-  ): Promise<Reply> {
+  ): Promise<CallResponse> {
     return this.send('/v1/chat/completions', {
-      headers: stepHeaders(program, sequence, { 'martenbay-history': 'append', ...headers }),
+      headers: programHeaders(program, sequence, { 'martenbay-history': 'append', ...headers }),
       body: { model: 'stand-in', messages: [{ role: 'user', content }], ...extra },
     });
   }
 
-  /** A fee, which may not be repeated. */
-  fee(program: string, sequence: number): Promise<Reply> {
+  /** Sends a non-repeatable call. */
+  chargeBagFee(program: string, sequence: number): Promise<CallResponse> {
     return this.send('/services/check-in/bag-fees', {
-      headers: stepHeaders(program, sequence),
+      headers: programHeaders(program, sequence),
       body: { bag: 1 },
     });
   }
 
-  /** How often the plain service ran a call. */
-  async executions(): Promise<number> {
-    const reply = await this.send('/services/check-in/executions', { method: 'GET' });
-    return (JSON.parse(reply.text) as { readonly total: number }).total;
+  /** Returns how often the plain service executed a call. */
+  async countExecutions(): Promise<number> {
+    const response = await this.send('/services/check-in/executions', { method: 'GET' });
+    return (JSON.parse(response.text) as { readonly total: number }).total;
   }
 
-  async program(id: string): Promise<Readonly<Record<string, unknown>>> {
-    const reply = await this.send(`/v1/programs/${id}`, { method: 'GET' });
-    return JSON.parse(reply.text) as Readonly<Record<string, unknown>>;
+  async getProgram(id: string): Promise<Readonly<Record<string, unknown>>> {
+    const response = await this.send(`/v1/programs/${id}`, { method: 'GET' });
+    return JSON.parse(response.text) as Readonly<Record<string, unknown>>;
   }
 }
 
-function stepHeaders(
+function programHeaders(
   program: string,
   sequence: number,
   extra: Readonly<Record<string, string>> = {},
@@ -88,10 +88,10 @@
   return { 'martenbay-program': program, 'martenbay-sequence': String(sequence), ...extra };
 }
 
-/** Text of a whole chat answer. */
-export function contentOf(reply: Reply): string {
-  const answer = JSON.parse(reply.text) as {
+/** Message text of a chat completion that is not streamed. */
+export function completionTextOf(response: CallResponse): string {
+  const completion = JSON.parse(response.text) as {
     readonly choices: readonly { readonly message: { readonly content: string } }[];
   };
-  return answer.choices[0]?.message.content ?? '';
+  return completion.choices[0]?.message.content ?? '';
 }
--- a/tests/host-list.test.ts
+++ b/tests/host-list.test.ts
@@ -5,7 +5,7 @@
 import { HostList, hostsSettingsSchema } from '../stand-ins';
 import { Caller } from './caller';
 
-describe("the platform's list of hosts", () => {
+describe('the host list of the platform', () => {
   let system: SeparateSystem;
   let list: HostList;
   let url: string;
@@ -31,23 +31,23 @@
     await list.stop();
   });
 
-  async function tell(host: string, state: string): Promise<void> {
-    const answer = await request(url, { method: 'POST', body: JSON.stringify({ host, state }) });
-    await answer.body.dump();
+  async function setHostState(host: string, state: string): Promise<void> {
+    const response = await request(url, { method: 'POST', body: JSON.stringify({ host, state }) });
+    await response.body.dump();
   }
 
-  it('takes a leaving target out of use while its sidecar serves, and brings it back', async () => {
-    await tell('engine-1', 'leaving');
+  it('excludes a leaving target whose sidecar still serves, and includes it once it is live again', async () => {
+    await setHostState('engine-1', 'leaving');
     await system.settled(system.layout.targets.length - 1);
     const caller = new Caller(system.entryUrls[0] ?? '');
     for (let count = 0; count < 4; count += 1) {
       const program = await caller.createProgram();
-      expect(await caller.turn(program, 1, 'One.')).toMatchObject({ status: 200 });
+      expect(await caller.sendTurn(program, 1, 'One.')).toMatchObject({ status: 200 });
     }
     const decisions = system.child('entry-1').lines.filter((line) => line['event'] === 'decision');
     const chosen = new Set(decisions.map((line) => line['choice']));
     expect([...chosen]).toEqual(['engine-2']);
-    await tell('engine-1', 'live');
+    await setHostState('engine-1', 'live');
     await system.settled();
   });
 });
--- a/tests/journal-evidence.test.ts
+++ b/tests/journal-evidence.test.ts
@@ -4,10 +4,9 @@
 
 const ROOT = join(__dirname, '..');
 
-/** How an entry of the journal is cited: its id, eight digits in base 16. */
-const CITATION = /\b[0-9a-f]{8}\b/g;
+/** Pages cite a journal entry by its id of eight hexadecimal digits. */
+const ENTRY_ID = /\b[0-9a-f]{8}\b/g;
 
-/** The part of an entry that tells whether its run ended and holds what it measured. */
 const entrySchema = z.object({
   id: z.string(),
   error: z.string().nullish(),
@@ -16,8 +15,8 @@
 
 type Entry = z.output<typeof entrySchema>;
 
-/** Words with which an entry says that it was written before its run had ended. */
-const UNFINISHED = 'the run did not finish';
+/** Value of `error` in an entry that was written before its run ended. */
+const UNFINISHED_ERROR = 'the run did not finish';
 
 function readEntries(): ReadonlyMap<string, Entry> {
   const folder = join(ROOT, 'journal');
@@ -35,23 +34,23 @@
   return ['README.md', 'DEVELOPERS.md', ...inDocs];
 }
 
-/** Why an id can't stand for a figure; nothing if it can. */
-function findFault(entry: Entry | undefined): string | undefined {
-  if (entry === undefined) return 'has no entry in the journal';
-  if (entry.error === UNFINISHED) return 'was committed before its run had ended';
-  if ((entry.days ?? []).length === 0) return 'holds no day';
+/** Why a cited entry is not valid evidence; undefined if it is. */
+function findProblem(entry: Entry | undefined): string | undefined {
+  if (entry === undefined) return 'has no journal entry';
+  if (entry.error === UNFINISHED_ERROR) return 'was written before its run ended';
+  if ((entry.days ?? []).length === 0) return 'contains no days';
   return undefined;
 }
 
 describe('journal entries that pages cite', () => {
   const entries = readEntries();
 
-  it.each(listPages())('%s cites only runs that ended and hold their days', (page) => {
+  it.each(listPages())('%s cites only entries whose runs ended and that contain days', (page) => {
     const text = readFileSync(join(ROOT, page), 'utf8');
-    const faults = [...new Set(text.match(CITATION) ?? [])].flatMap((id) => {
-      const fault = findFault(entries.get(id));
-      return fault === undefined ? [] : [`${id} ${fault}`];
+    const problems = [...new Set(text.match(ENTRY_ID) ?? [])].flatMap((id) => {
+      const problem = findProblem(entries.get(id));
+      return problem === undefined ? [] : [`${id} ${problem}`];
     });
-    expect(faults).toEqual([]);
+    expect(problems).toEqual([]);
   });
 });
--- a/tests/local-system.ts
+++ b/tests/local-system.ts
@@ -6,7 +6,7 @@
   startLocalSystem,
 } from '../src/local';
 
-/** Starts a silent local system whose engines take no time. */
+/** Starts a local system without log output whose engines answer at once. */
 export function startTestSystem(
   seed: number,
   options: Partial<LocalSystemOptions> = {},
--- a/tests/normalizer.ts
+++ b/tests/normalizer.ts
@@ -1,17 +1,17 @@
-/** Texts that differ from run to run: ids of programs and of attempts, and addresses. */
-const VARYING = /\b(p-[0-9a-f]{24}\.[a-z0-9-]+|[0-9a-f]{24}\.\d+|127\.0\.0\.\d+:\d+)\b/g;
+/** Ids of programs and of attempts, and addresses. */
+const RUN_SPECIFIC_TEXT = /\b(p-[0-9a-f]{24}\.[a-z0-9-]+|[0-9a-f]{24}\.\d+|127\.0\.0\.\d+:\d+)\b/g;
 
-/** Replaces what differs from run to run by names in the order of first appearance. */
+/** Replaces texts that differ from run to run by placeholders numbered by first appearance. */
 export class Normalizer {
-  readonly #names = new Map<string, string>();
+  readonly #placeholders = new Map<string, string>();
 
   normalize(text: string): string {
-    return text.replace(VARYING, (found) => {
-      const known = this.#names.get(found);
-      if (known !== undefined) return known;
-      const name = `<${kindOf(found)}-${this.#names.size + 1}>`;
-      this.#names.set(found, name);
-      return name;
+    return text.replace(RUN_SPECIFIC_TEXT, (found) => {
+      const existing = this.#placeholders.get(found);
+      if (existing !== undefined) return existing;
+      const placeholder = `<${kindOf(found)}-${this.#placeholders.size + 1}>`;
+      this.#placeholders.set(found, placeholder);
+      return placeholder;
     });
   }
 }
--- a/tests/openai-client.test.ts
+++ b/tests/openai-client.test.ts
@@ -17,14 +17,14 @@
 
   const messages = [{ role: 'user' as const, content: 'Choose a spread.' }];
 
-  it('gets a whole answer', async () => {
-    const answer = await client.chat.completions.create({ model: 'stand-in', messages });
-    expect(answer.choices[0]?.message.content).toMatchSnapshot();
-    expect(answer.usage?.total_tokens).toBeGreaterThan(0);
+  it('gets a completion', async () => {
+    const completion = await client.chat.completions.create({ model: 'stand-in', messages });
+    expect(completion.choices[0]?.message.content).toMatchSnapshot();
+    expect(completion.usage?.total_tokens).toBeGreaterThan(0);
   });
 
-  it('gets the same answer as a stream, with the usage it asks for', async () => {
-    const whole = await client.chat.completions.create({ model: 'stand-in', messages });
+  it('gets the same completion as a stream, with usage if it requests it', async () => {
+    const completion = await client.chat.completions.create({ model: 'stand-in', messages });
     const stream = await client.chat.completions.create({
       model: 'stand-in',
       messages,
@@ -39,20 +39,20 @@
       if (chunk.usage) usages.push(chunk.usage);
       else reasons.push(chunk.choices[0]?.finish_reason ?? null);
     }
-    expect(parts.join('')).toBe(whole.choices[0]?.message.content);
+    expect(parts.join('')).toBe(completion.choices[0]?.message.content);
     expect(usages).toHaveLength(1);
     expect(reasons.slice(0, -1).every((reason) => reason === null)).toBe(true);
     expect(reasons.at(-1)).toBe('stop');
   });
 
-  it('keeps up a program by echoing the answers it got', async () => {
+  it('continues a program by sending back the messages it received', async () => {
     const response = await client.post('/programs', { body: {} });
     const { id } = response as { readonly id: string };
     const options = { headers: { 'Martenbay-Program': id } };
     const first = await client.chat.completions.create({ model: 'stand-in', messages }, options);
-    const echoed = first.choices[0]?.message;
-    if (echoed === undefined) throw new Error('no answer');
-    const list = [...messages, echoed, { role: 'user' as const, content: 'Another one.' }];
+    const received = first.choices[0]?.message;
+    if (received === undefined) throw new Error('expected a completion with a choice, got none');
+    const list = [...messages, received, { role: 'user' as const, content: 'Another one.' }];
     const second = await client.chat.completions.create(
       { model: 'stand-in', messages: list },
       options,
@@ -68,16 +68,20 @@
     expect(models).toEqual(['stand-in']);
   });
 
-  it('is told why a request is refused, and that it did not run', async () => {
-    const unknown = client.chat.completions.create({ model: 'nothing', messages });
-    await expect(unknown).rejects.toMatchObject({
+  it('gets status, code and outcome of a refused request', async () => {
+    const unknownModel = client.chat.completions.create({ model: 'nothing', messages });
+    await expect(unknownModel).rejects.toMatchObject({
       status: 404,
       code: 'unknown-model',
       error: { outcome: 'not-run' },
     });
-    const stranger = new OpenAI({ baseURL: `${system.entryUrl}/v1`, apiKey: 'x', maxRetries: 0 });
+    const unauthorizedClient = new OpenAI({
+      baseURL: `${system.entryUrl}/v1`,
+      apiKey: 'x',
+      maxRetries: 0,
+    });
     await expect(
-      stranger.chat.completions.create({ model: 'stand-in', messages }),
+      unauthorizedClient.chat.completions.create({ model: 'stand-in', messages }),
     ).rejects.toMatchObject({ status: 401, code: 'unauthorized' });
   });
 });
--- a/tests/operator-command.test.ts
+++ b/tests/operator-command.test.ts
@@ -3,7 +3,7 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { Normalizer } from './normalizer';
 
-/** Digests cover the addresses, which differ from run to run. */
+/** Digests include the addresses, which differ from run to run. */
 const DIGEST = /\b[0-9a-f]{12,64}\b/g;
 
 describe("the operators' command line", () => {
@@ -18,9 +18,9 @@
     await system.stop();
   });
 
-  async function run(...words: readonly string[]): Promise<void> {
+  async function run(...commandArguments: readonly string[]): Promise<void> {
     const normalizer = new Normalizer();
-    const child = system.command(...words);
+    const child = system.command(...commandArguments);
     const code = await child.exited;
     await child.closed;
     const output = child.lines.map((line) => {
@@ -29,13 +29,13 @@
     });
     const folder = dirname(system.layout.configuration);
     const text = [...output, child.errors].join('\n').trim().replaceAll(`${folder}/`, '');
-    const shown = words.map((word) => word.split('/').at(-1)).join(' ');
+    const shown = commandArguments.map((word) => word.split('/').at(-1)).join(' ');
     session.push(`$ martenbay ${shown}  (exit ${code})`);
     session.push(normalizer.normalize(text).replaceAll(DIGEST, '<digest>'));
   }
 
-  /** A copy of the directory with one text replaced by another. */
-  async function variant(name: string, from: string, to: string): Promise<string> {
+  /** Copies the configuration directory with one text replaced. */
+  async function copyWithReplacement(name: string, from: string, to: string): Promise<string> {
     const directory = `${system.layout.configuration}-${name}`;
     await rm(directory, { recursive: true, force: true });
     await cp(system.layout.configuration, directory, { recursive: true });
@@ -46,18 +46,18 @@
     return directory;
   }
 
-  it('applies as a whole, settles races, and reads back what is in force', async () => {
+  it('applies atomically, rejects a conflicting number and reads back the active configuration', async () => {
     const { configuration, operatorSettings } = system.layout;
     const settings = ['--settings', operatorSettings];
-    const second = await variant('second', 'number = 1', 'number = 2');
-    const loser = await variant('loser', 'number = 1', 'number = 2 # another');
-    const faulty = await variant('faulty', 'idle-seconds', 'idle-secs');
+    const second = await copyWithReplacement('second', 'number = 1', 'number = 2');
+    const conflicting = await copyWithReplacement('loser', 'number = 1', 'number = 2 # another');
+    const faulty = await copyWithReplacement('faulty', 'idle-seconds', 'idle-secs');
     await run('validate', configuration);
     await run('validate', faulty);
     await run('diff', configuration, ...settings);
     await run('apply', second, ...settings, '--wait');
     await run('apply', second, ...settings);
-    await run('apply', loser, ...settings);
+    await run('apply', conflicting, ...settings);
     await run('apply', configuration, ...settings);
     await run('get', 'services', ...settings);
     await run('get', 'budgets', ...settings, '--output', 'json');
--- a/tests/planned-stop.test.ts
+++ b/tests/planned-stop.test.ts
@@ -4,17 +4,16 @@
 import { INSTANT_ENGINE, LOCAL_KEY } from '../src/local';
 import { SeparateSystem } from '../scripts/separate/system';
 
-/** The engine stands still after this many tokens of the one stream of a test. */
-const HELD_TOKENS = 5;
+/** The engine pauses the stream after this many tokens until it is released. */
+const TOKENS_BEFORE_HOLD = 5;
 
-const ENGINE = { ...INSTANT_ENGINE, 'hold-after-tokens': HELD_TOKENS };
+const ENGINE_SETTINGS = { ...INSTANT_ENGINE, 'hold-after-tokens': TOKENS_BEFORE_HOLD };
 
-/** The group that holds every program of these tests. */
 const ONLY_GROUP = 'main-1';
 
 const PROMPT = [{ role: 'user' as const, content: 'Which gate? [tokens=40]' }];
 
-/** A streamed turn that the engine holds in its middle until it is released. */
+/** Starts a streamed turn that the engine pauses until `release` is called. */
 async function startHeldTurn(system: SeparateSystem) {
   const client = new OpenAI({ baseURL: `${system.entryUrls[0] ?? ''}/v1`, apiKey: LOCAL_KEY });
   const stream = await client.chat.completions.create({
@@ -23,7 +22,7 @@
     stream: true,
   });
   const engine = system.layout.targets.find((target) => target.name === 'engine-1');
-  if (engine === undefined) throw new Error('no engine');
+  if (engine === undefined) throw new Error('expected target "engine-1" in the layout, found none');
   const url = `http://${formatAddress(engine.address)}`;
   await request(`${url}/held`);
   return {
@@ -42,18 +41,18 @@
   };
 }
 
-describe('a planned stop in the middle of a stream', () => {
+describe('SIGTERM during a stream', () => {
   let system: SeparateSystem;
 
   beforeEach(async () => {
-    system = await SeparateSystem.start({ engineSettings: ENGINE, programGroups: 1 });
+    system = await SeparateSystem.start({ engineSettings: ENGINE_SETTINGS, programGroups: 1 });
   });
 
   afterEach(async () => {
     await system.stop();
   });
 
-  async function expectWholeAnswerAcrossStop(name: string): Promise<void> {
+  async function expectCompleteStreamAcrossStop(name: string): Promise<void> {
     const turn = await startHeldTurn(system);
     const child = system.child(name);
     child.signal('SIGTERM');
@@ -63,24 +62,24 @@
     expect(await child.exited).toBe(0);
   }
 
-  it('of the entry lets the caller read the whole answer', async () => {
-    await expectWholeAnswerAcrossStop('entry-1');
+  it('of the entry does not interrupt the stream', async () => {
+    await expectCompleteStreamAcrossStop('entry-1');
   });
 
-  it('of the sidecar lets the caller read the whole answer', async () => {
-    await expectWholeAnswerAcrossStop('sidecar-engine-1');
+  it('of the sidecar does not interrupt the stream', async () => {
+    await expectCompleteStreamAcrossStop('sidecar-engine-1');
   });
 
-  it('of a control host that follows lets the caller read the whole answer', async () => {
+  it('of a follower among the control hosts does not interrupt the stream or change the leader', async () => {
     const { leader } = await system.group(ONLY_GROUP);
     const follower = system.layout.controlMembers.find((member) => member.name !== leader);
-    await expectWholeAnswerAcrossStop(follower?.name ?? '');
+    await expectCompleteStreamAcrossStop(follower?.name ?? '');
     expect(await system.group(ONLY_GROUP)).toMatchObject({ leader });
   });
 
-  it('of the leading control host lets the caller read the whole answer', async () => {
+  it('of the leading control host does not interrupt the stream, and another leader takes over', async () => {
     const { leader } = await system.group(ONLY_GROUP);
-    await expectWholeAnswerAcrossStop(leader);
+    await expectCompleteStreamAcrossStop(leader);
     const after = await system.group(ONLY_GROUP);
     expect(after.leader).not.toBe(leader);
   });
--- a/tests/process-failures.test.ts
+++ b/tests/process-failures.test.ts
@@ -2,13 +2,13 @@
 import { formatAddress } from '../src/core';
 import { INSTANT_ENGINE } from '../src/local';
 import { SeparateSystem } from '../scripts/separate/system';
-import { Caller, contentOf } from './caller';
+import { Caller, completionTextOf } from './caller';
 
-/** Less than the longest time for which a leader holds a call that waits. */
-const FROZEN_DEADLINE_MILLISECONDS = 9000;
+/** Less than the maximum time for which a leader keeps a waiting call open. */
+const SUSPENSION_DEADLINE_MILLISECONDS = 9000;
 
-/** Sessions end soon after a process does, so that another takes its work over soon. */
-const SHORT_SESSIONS = {
+/** Short sessions, so that the failure of a process is detected soon. */
+const SHORT_SESSION_SETTINGS = {
   controlSettings: { 'session-milliseconds': 400 },
   entrySettings: { 'heartbeat-milliseconds': 100 },
   sidecarSettings: { 'heartbeat-milliseconds': 100 },
@@ -28,7 +28,8 @@
 
   function standInUrl(target: string): string {
     const address = system.layout.targets.find((entry) => entry.name === target)?.address;
-    if (address === undefined) throw new Error(`no target ${target}`);
+    if (address === undefined)
+      throw new Error(`expected target "${target}" in the layout, found none`);
     return `http://${formatAddress(address)}`;
   }
 
@@ -38,23 +39,23 @@
     await child.exited;
   }
 
-  describe('an entry killed in the middle of a turn', () => {
-    it('is replaced by another, with the history whole and one answer', async () => {
+  describe('an entry killed during a turn', () => {
+    it('lets another entry complete the turn once, with an intact history', async () => {
       system = await SeparateSystem.start({
-        ...SHORT_SESSIONS,
+        ...SHORT_SESSION_SETTINGS,
         engineSettings: { ...INSTANT_ENGINE, 'hold-after-tokens': 20 },
       });
       const [first, second] = callers();
       const program = await first.createProgram();
-      const lost = first.turn(program, 1, 'Which row? [tokens=40]').catch(() => 'lost');
+      const lostCall = first.sendTurn(program, 1, 'Which row? [tokens=40]').catch(() => 'lost');
       const engines = ['engine-1', 'engine-2'].map(standInUrl);
       await Promise.race(engines.map((url) => request(`${url}/held`)));
       await kill('entry-1');
-      expect(await lost).toBe('lost');
+      expect(await lostCall).toBe('lost');
       for (const url of engines) await request(`${url}/release`, { method: 'POST' });
-      const answer = await second.turn(program, 1, 'Which row? [tokens=40]');
-      expect(contentOf(answer).split(' ')).toHaveLength(40);
-      expect(await second.program(program)).toMatchObject({
+      const response = await second.sendTurn(program, 1, 'Which row? [tokens=40]');
+      expect(completionTextOf(response).split(' ')).toHaveLength(40);
+      expect(await second.getProgram(program)).toMatchObject({
         message_count: 2,
         next_sequence: 2,
       });
@@ -62,43 +63,43 @@
     });
   });
 
-  describe('an entry killed while a call that may not be repeated runs', () => {
-    it('leaves the answer to the resend, and the call runs once', async () => {
+  describe('an entry killed during a non-repeatable call', () => {
+    it('gives the response to the repeated request, and the call runs once', async () => {
       system = await SeparateSystem.start({
-        ...SHORT_SESSIONS,
+        ...SHORT_SESSION_SETTINGS,
         plainSettings: { 'hold-from-call': 1 },
       });
       const [first, second] = callers();
       const program = await first.createProgram();
-      const lost = first.fee(program, 1).catch(() => 'lost');
+      const lostCall = first.chargeBagFee(program, 1).catch(() => 'lost');
       await request(`${standInUrl('check-in-1')}/held`);
       await kill('entry-1');
-      expect(await lost).toBe('lost');
-      const early = await second.fee(program, 1);
+      expect(await lostCall).toBe('lost');
+      const early = await second.chargeBagFee(program, 1);
       expect(early).toMatchObject({ status: 503, outcome: 'unknown', retryAfter: '1' });
       await request(`${standInUrl('check-in-1')}/release`, { method: 'POST' });
-      let reply = await second.fee(program, 1);
-      while (reply.status === 503) reply = await second.fee(program, 1);
-      expect(reply.status).toBe(200);
-      expect(JSON.parse(reply.text)).toMatchObject({ execution: 1 });
-      expect(await second.executions()).toBe(1);
+      let response = await second.chargeBagFee(program, 1);
+      while (response.status === 503) response = await second.chargeBagFee(program, 1);
+      expect(response.status).toBe(200);
+      expect(JSON.parse(response.text)).toMatchObject({ execution: 1 });
+      expect(await second.countExecutions()).toBe(1);
       await system.restart('entry-1');
     });
   });
 
   describe('the leading control host killed', () => {
-    it('is replaced, and a program goes on with nothing lost', async () => {
+    it('is replaced by another leader, and a program continues without loss', async () => {
       system = await SeparateSystem.start({ engineSettings: INSTANT_ENGINE });
       const [first, second] = callers();
       const program = await first.createProgram();
-      expect(await first.turn(program, 1, 'One.')).toMatchObject({ status: 200 });
-      expect(await second.fee(program, 2)).toMatchObject({ status: 200 });
+      expect(await first.sendTurn(program, 1, 'One.')).toMatchObject({ status: 200 });
+      expect(await second.chargeBagFee(program, 2)).toMatchObject({ status: 200 });
       const before = await system.groupOf(program);
       const { configuration } = await system.status();
       await kill(before.leader);
-      expect(await first.turn(program, 3, 'Three.')).toMatchObject({ status: 200 });
-      const again = await second.fee(program, 2);
-      expect(JSON.parse(again.text)).toMatchObject({ execution: 1 });
+      expect(await first.sendTurn(program, 3, 'Three.')).toMatchObject({ status: 200 });
+      const repeated = await second.chargeBagFee(program, 2);
+      expect(JSON.parse(repeated.text)).toMatchObject({ execution: 1 });
       const after = await system.groupOf(program);
       expect(after.leader).not.toBe(before.leader);
       expect(after.term).toBeGreaterThan(before.term);
@@ -107,30 +108,33 @@
     });
   });
 
-  describe('the leading control host frozen past its lease', () => {
-    it('changes nothing when it wakes', async () => {
+  describe('the leading control host suspended past its lease', () => {
+    it('is deposed and changes nothing after it resumes', async () => {
       system = await SeparateSystem.start({ engineSettings: INSTANT_ENGINE });
       const [first, second] = callers();
       const program = await first.createProgram();
       const { leader, term } = await system.groupOf(program);
       system.child(leader).signal('SIGSTOP');
-      const deadline = { 'martenbay-deadline': String(FROZEN_DEADLINE_MILLISECONDS) };
-      const answer = await first.turn(program, 1, 'One.', {}, deadline);
-      expect(answer).toMatchObject({ status: 200 });
+      const deadline = { 'martenbay-deadline': String(SUSPENSION_DEADLINE_MILLISECONDS) };
+      const response = await first.sendTurn(program, 1, 'One.', {}, deadline);
+      expect(response).toMatchObject({ status: 200 });
       system.child(leader).signal('SIGCONT');
-      expect(await second.turn(program, 2, 'Two.')).toMatchObject({ status: 200 });
+      expect(await second.sendTurn(program, 2, 'Two.')).toMatchObject({ status: 200 });
       const after = await system.groupOf(program);
       expect(after.term).toBeGreaterThan(term);
-      expect(await second.program(program)).toMatchObject({ message_count: 4 });
+      expect(await second.getProgram(program)).toMatchObject({ message_count: 4 });
     });
   });
 
   describe('a sidecar killed', () => {
-    it('gets no call once its session is over, and is back after its restart', async () => {
-      system = await SeparateSystem.start({ ...SHORT_SESSIONS, engineSettings: INSTANT_ENGINE });
+    it('gets no calls after its session expires, and gets them again after a restart', async () => {
+      system = await SeparateSystem.start({
+        ...SHORT_SESSION_SETTINGS,
+        engineSettings: INSTANT_ENGINE,
+      });
       const [first] = callers();
       await kill('sidecar-engine-1');
-      expect(await first.turn(await first.createProgram(), 1, 'One.')).toMatchObject({
+      expect(await first.sendTurn(await first.createProgram(), 1, 'One.')).toMatchObject({
         status: 200,
       });
       await system.settled(system.layout.targets.length - 1);
--- a/tests/program-order.test.ts
+++ b/tests/program-order.test.ts
@@ -1,8 +1,8 @@
 import { type LocalSystem } from '../src/local';
-import { Caller, type Reply, contentOf } from './caller';
+import { Caller, type CallResponse, completionTextOf } from './caller';
 import { startTestSystem } from './local-system';
 
-describe("a program's calls", () => {
+describe('the calls of a program', () => {
   let system: LocalSystem;
   let caller: Caller;
 
@@ -15,46 +15,48 @@
     await system.lifeCycle.stop();
   });
 
-  it('run in the order of their sequences, whatever the order they arrive in', async () => {
+  it('run in the order of their sequence numbers, whatever the order of arrival', async () => {
     const ordered = await caller.createProgram();
     const expected: string[] = [];
     for (const sequence of [1, 2, 3]) {
-      expected.push(contentOf(await caller.turn(ordered, sequence, `message ${sequence}`)));
+      expected.push(
+        completionTextOf(await caller.sendTurn(ordered, sequence, `message ${sequence}`)),
+      );
     }
     const shuffled = await caller.createProgram();
-    const replies = await Promise.all(
-      [3, 2, 1].map((sequence) => caller.turn(shuffled, sequence, `message ${sequence}`)),
+    const responses = await Promise.all(
+      [3, 2, 1].map((sequence) => caller.sendTurn(shuffled, sequence, `message ${sequence}`)),
     );
-    expect(replies.reverse().map(contentOf)).toEqual(expected);
+    expect(responses.reverse().map(completionTextOf)).toEqual(expected);
   });
 
-  it('run once when the same sequence is sent again, even at the same time', async () => {
+  it('run once for repeated requests with the same sequence number, also concurrent ones', async () => {
     const program = await caller.createProgram();
-    const before = await caller.executions();
-    const replies = await Promise.all(
-      [1, 1, 1, 1].map((sequence) => caller.fee(program, sequence)),
+    const before = await caller.countExecutions();
+    const responses = await Promise.all(
+      [1, 1, 1, 1].map((sequence) => caller.chargeBagFee(program, sequence)),
     );
-    expect(new Set(replies.map((reply) => reply.text)).size).toBe(1);
-    expect(await caller.executions()).toBe(before + 1);
+    expect(new Set(responses.map((response) => response.text)).size).toBe(1);
+    expect(await caller.countExecutions()).toBe(before + 1);
   });
 
-  it('run once for one idempotency key, with a program or without', async () => {
-    const before = await caller.executions();
+  it('run once for each idempotency key, with a program or without', async () => {
+    const before = await caller.countExecutions();
     const program = await caller.createProgram();
     const send = (headers: Readonly<Record<string, string>>) =>
       caller.send('/services/check-in/bag-fees', { headers, body: { bag: 2 } });
     const key = { 'idempotency-key': 'fee-17' };
-    const alone = await Promise.all([send(key), send(key)]);
+    const standalone = await Promise.all([send(key), send(key)]);
     const within = { ...key, 'martenbay-program': program };
-    const replies = [await send(within), await send(within)];
-    expect(new Set(alone.map((reply) => reply.text)).size).toBe(1);
-    expect(new Set(replies.map((reply) => reply.text)).size).toBe(1);
-    expect(await caller.executions()).toBe(before + 2);
+    const responses = [await send(within), await send(within)];
+    expect(new Set(standalone.map((response) => response.text)).size).toBe(1);
+    expect(new Set(responses.map((response) => response.text)).size).toBe(1);
+    expect(await caller.countExecutions()).toBe(before + 2);
   });
 
-  it('are refused as not run when an earlier one does not arrive in time', async () => {
+  it('are refused with outcome not-run if an earlier call does not arrive within the deadline', async () => {
     const program = await caller.createProgram();
-    const reply = await caller.send('/v1/chat/completions', {
+    const response = await caller.send('/v1/chat/completions', {
       headers: {
         'martenbay-program': program,
         'martenbay-sequence': '2',
@@ -62,14 +64,14 @@
       },
       body: { model: 'stand-in', messages: [{ role: 'user', content: 'x' }] },
     });
-    expect(reply).toMatchObject({ status: 409, outcome: 'not-run' });
-    expect(reply.text).toContain('earlier-step-missing');
+    expect(response).toMatchObject({ status: 409, outcome: 'not-run' });
+    expect(response.text).toContain('earlier-step-missing');
   });
 
-  it('create one program for one idempotency key', async () => {
+  it('create one program for each idempotency key', async () => {
     const headers = { 'idempotency-key': 'start-4' };
     const create = () => caller.send('/v1/programs', { headers, body: {} });
-    const replies: readonly Reply[] = await Promise.all([create(), create()]);
-    expect(new Set(replies.map((reply) => reply.text)).size).toBe(1);
+    const responses: readonly CallResponse[] = await Promise.all([create(), create()]);
+    expect(new Set(responses.map((response) => response.text)).size).toBe(1);
   });
 });
--- a/tests/refusals.test.ts
+++ b/tests/refusals.test.ts
@@ -4,45 +4,45 @@
 import { startTestSystem } from './local-system';
 
 const MESSAGES = [{ role: 'user', content: 'x' }];
-const CHAT = '/v1/chat/completions';
+const CHAT_PATH = '/v1/chat/completions';
 
-/** Bad requests; each is refused with a code, a message and an outcome. */
-const REQUESTS: readonly (readonly [string, string, CallOptions])[] = [
-  ['no key', CHAT, { key: '', body: { model: 'stand-in', messages: MESSAGES } }],
-  ['unknown key', CHAT, { key: 'nobody', body: { model: 'stand-in', messages: MESSAGES } }],
-  ['body that is not JSON', CHAT, { body: '{"model": ' }],
-  ['body of another shape', CHAT, { body: { model: 7, messages: [] } }],
-  ['more than one choice', CHAT, { body: { model: 'stand-in', messages: MESSAGES, n: 2 } }],
-  ['unknown model', CHAT, { body: { model: 'nothing', messages: MESSAGES } }],
-  ['body too large', CHAT, { body: `"${'x'.repeat(8_388_608)}"` }],
+/** Requests that are refused: label in the snapshot, path and options. */
+const REFUSED_REQUESTS: readonly (readonly [string, string, CallOptions])[] = [
+  ['no key', CHAT_PATH, { key: '', body: { model: 'stand-in', messages: MESSAGES } }],
+  ['unknown key', CHAT_PATH, { key: 'nobody', body: { model: 'stand-in', messages: MESSAGES } }],
+  ['body that is not JSON', CHAT_PATH, { body: '{"model": ' }],
+  ['body with invalid fields', CHAT_PATH, { body: { model: 7, messages: [] } }],
+  ['more than one choice', CHAT_PATH, { body: { model: 'stand-in', messages: MESSAGES, n: 2 } }],
+  ['unknown model', CHAT_PATH, { body: { model: 'nothing', messages: MESSAGES } }],
+  ['body too large', CHAT_PATH, { body: `"${'x'.repeat(8_388_608)}"` }],
   [
-    'sequence that is not a number',
-    CHAT,
+    'non-numeric sequence',
+    CHAT_PATH,
     {
       headers: { 'martenbay-program': 'p', 'martenbay-sequence': 'first' },
       body: { model: 'stand-in', messages: MESSAGES },
     },
   ],
   [
-    'program of nobody',
-    CHAT,
+    'unknown program of a call',
+    CHAT_PATH,
     { headers: { 'martenbay-program': 'p-0' }, body: { model: 'stand-in', messages: MESSAGES } },
   ],
   [
     'more tokens than the budget',
-    CHAT,
+    CHAT_PATH,
     { body: { model: 'stand-in', messages: MESSAGES, max_tokens: 9_000_000 } },
   ],
   ['unknown program kind', '/v1/programs', { body: { kind: 'none' } }],
   ['unknown parent', '/v1/programs', { body: { parent: 'p-0' } }],
-  ['unknown key of a program', '/v1/programs', { body: { colour: 'red' } }],
-  ['program that is not there', '/v1/programs/p-0', { method: 'GET' }],
-  ['badly encoded program', '/v1/programs/%E0%A4%A', { method: 'GET' }],
-  ['method that programs do not have', '/v1/programs/p-0', { method: 'PATCH' }],
+  ['unknown field of a program', '/v1/programs', { body: { colour: 'red' } }],
+  ['unknown program', '/v1/programs/p-0', { method: 'GET' }],
+  ['malformed encoding of a program id', '/v1/programs/%E0%A4%A', { method: 'GET' }],
+  ['unsupported method of a program', '/v1/programs/p-0', { method: 'PATCH' }],
   ['unknown path', '/v2/anything', { method: 'GET' }],
   ['unknown service', '/services/nothing/x', { method: 'GET' }],
-  ['engine asked as a plain service', '/services/assistant/load', { method: 'GET' }],
-  ['no service', '/services//x', { method: 'GET' }],
+  ['engine called as a plain service', '/services/assistant/load', { method: 'GET' }],
+  ['missing service name', '/services//x', { method: 'GET' }],
   ['encoded separator', '/services/check-in/a%2fb', { method: 'GET' }],
   ['encoded dots', '/services/check-in/%2e%2e/orders', { method: 'GET' }],
   ['backslash', '/services/check-in/a%5cb', { method: 'GET' }],
@@ -51,7 +51,7 @@
   ['line break', '/services/check-in/a%0d%0ab', { method: 'GET' }],
 ];
 
-describe('requests that are refused', () => {
+describe('refused requests', () => {
   let system: LocalSystem;
 
   beforeAll(async () => {
@@ -62,11 +62,11 @@
     await system.lifeCycle.stop();
   });
 
-  it('say why, and whether they ran', async () => {
+  it('get a code, a message and the outcome not-run', async () => {
     const caller = new Caller(system.entryUrl);
     const normalizer = new Normalizer();
     const lines: string[] = [];
-    for (const [name, path, options] of REQUESTS) {
+    for (const [name, path, options] of REFUSED_REQUESTS) {
       const { status, outcome, text } = await caller.send(path, options);
       const { error } = JSON.parse(text) as {
         readonly error: { readonly code: string; readonly message: string };
@@ -75,10 +75,10 @@
       lines.push(normalizer.normalize(line));
     }
     expect(lines.join('\n')).toMatchSnapshot();
-    expect(await caller.executions()).toBe(0);
+    expect(await caller.countExecutions()).toBe(0);
   });
 
-  it('do not include the pages of health, which need no key', async () => {
+  it('do not include requests for the health and metrics pages without a key', async () => {
     const caller = new Caller(system.entryUrl);
     for (const page of ['/healthz', '/readyz', '/metrics']) {
       expect(await caller.send(page, { method: 'GET', key: '' })).toMatchObject({ status: 200 });
--- a/tests/regions.test.ts
+++ b/tests/regions.test.ts
@@ -2,7 +2,7 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { Caller } from './caller';
 
-describe('regions, each with a control host of its own', () => {
+describe('regions with one control host each', () => {
   let system: SeparateSystem;
   let caller: Caller;
 
@@ -20,7 +20,7 @@
     await system.stop();
   });
 
-  it('hold the programs that start in them', async () => {
+  it('store the programs that start in them', async () => {
     const { groups } = await system.status();
     expect(groups.map(({ group, voters }) => ({ group, voters }))).toEqual([
       { group: 'configuration', voters: ['control-1', 'control-2', 'control-3'] },
@@ -36,13 +36,13 @@
     }
   });
 
-  it('go on when another one is lost, with their programs and a new configuration', async () => {
+  it('continue their programs and accept a new configuration after the loss of another region', async () => {
     const program = await caller.createProgram();
-    expect(await caller.turn(program, 1, 'One.')).toMatchObject({ status: 200 });
-    const lost = system.child('control-3');
-    lost.signal('SIGKILL');
-    await lost.exited;
-    expect(await caller.turn(program, 2, 'Two.')).toMatchObject({ status: 200 });
+    expect(await caller.sendTurn(program, 1, 'One.')).toMatchObject({ status: 200 });
+    const killedHost = system.child('control-3');
+    killedHost.signal('SIGKILL');
+    await killedHost.exited;
+    expect(await caller.sendTurn(program, 2, 'Two.')).toMatchObject({ status: 200 });
     await system.apply();
     const { groups } = await system.status();
     const leaders = new Map(groups.map(({ group, leader }) => [group, leader]));
--- a/tests/separate-session.test.ts
+++ b/tests/separate-session.test.ts
@@ -4,25 +4,25 @@
 import { SeparateSystem } from '../scripts/separate/system';
 import { Normalizer } from './normalizer';
 
-/** Loads are read so seldom that none is read while a call runs. */
-const LOADS_NEVER_READ = { 'load-milliseconds': 3_600_000 };
+/** The interval is longer than the test, so that no load is read during a call. */
+const LOAD_POLLING_DISABLED = { 'load-milliseconds': 3_600_000 };
 
 function withoutTime(line: LogLine): string {
   return JSON.stringify({ ...line, time: undefined });
 }
 
-async function readHealth(url: string): Promise<readonly number[]> {
+async function readHealthStatuses(url: string): Promise<readonly number[]> {
   const pages = ['/healthz', '/readyz', '/metrics'];
-  const answers = await Promise.all(pages.map((page) => request(`${url}${page}`)));
-  await Promise.all(answers.map((answer) => answer.body.dump()));
-  return answers.map((answer) => answer.statusCode);
+  const responses = await Promise.all(pages.map((page) => request(`${url}${page}`)));
+  await Promise.all(responses.map((response) => response.body.dump()));
+  return responses.map((response) => response.statusCode);
 }
 
 describe('a session over separate processes', () => {
-  it('is the same on every run, each call at another entry than the one before', async () => {
+  it('is the same on every run when consecutive calls use different entries', async () => {
     const system = await SeparateSystem.start({
       engineSettings: INSTANT_ENGINE,
-      sidecarSettings: LOADS_NEVER_READ,
+      sidecarSettings: LOAD_POLLING_DISABLED,
     });
     const normalizer = new Normalizer();
     const session: string[] = [];
@@ -33,15 +33,15 @@
         session.push(normalizer.normalize(line));
       },
     });
-    const pages = await Promise.all(system.ownAddresses.map(readHealth));
+    const statuses = await Promise.all(system.ownAddresses.map(readHealthStatuses));
     const exitCodes = await system.stop();
     const decisions = system.children
       .filter((child) => child.name.startsWith('entry'))
       .flatMap((child) => child.lines.filter((line) => line['event'] === 'decision'))
       .map((line) => normalizer.normalize(withoutTime(line)));
 
-    expect(new Set(pages.flat())).toEqual(new Set([200]));
-    expect(session.join('\n')).toMatchSnapshot('what the caller saw');
+    expect(new Set(statuses.flat())).toEqual(new Set([200]));
+    expect(session.join('\n')).toMatchSnapshot('responses to the caller');
     expect(decisions.join('\n')).toMatchSnapshot('decisions of the entries');
     expect(exitCodes).toMatchSnapshot('exit codes after SIGTERM');
   });
--- a/tests/target-failures.test.ts
+++ b/tests/target-failures.test.ts
@@ -1,8 +1,8 @@
 import { type LocalSystem, type StandInSettings } from '../src/local';
-import { Caller, contentOf } from './caller';
+import { Caller, completionTextOf } from './caller';
 import { startTestSystem } from './local-system';
 
-describe('targets that fail', () => {
+describe('failing targets', () => {
   let system: LocalSystem | undefined;
 
   afterEach(async () => {
@@ -15,38 +15,41 @@
     return new Caller(system.entryUrl);
   }
 
-  /** Each engine breaks off its first stream. */
-  const BREAKS = { 'break-after-tokens': 3, 'break-count': 1 };
+  /** Each engine aborts its first stream. */
+  const STREAM_ABORTS = { 'break-after-tokens': 3, 'break-count': 1 };
 
-  describe('an engine that breaks off', () => {
-    it('leaves nothing behind: the caller asks again and gets the whole answer', async () => {
+  describe('an engine that aborts its stream', () => {
+    it('leaves no partial history: the repeated request gets the complete response', async () => {
       const healthy = await start({});
-      const undisturbed = await healthy.turn(await healthy.createProgram(), 1, 'Which row?');
+      const expected = await healthy.sendTurn(await healthy.createProgram(), 1, 'Which row?');
       await system?.lifeCycle.stop();
-      const caller = await start(BREAKS);
+      const caller = await start(STREAM_ABORTS);
       const program = await caller.createProgram();
-      const first = await caller.turn(program, 1, 'Which row?');
+      const first = await caller.sendTurn(program, 1, 'Which row?');
       expect(first).toMatchObject({ status: 503, outcome: 'unknown', retryAfter: '1' });
-      const second = await caller.turn(program, 1, 'Which row?');
-      expect(contentOf(second)).toBe(contentOf(undisturbed));
-      expect(await caller.program(program)).toMatchObject({ message_count: 2 });
+      const second = await caller.sendTurn(program, 1, 'Which row?');
+      expect(completionTextOf(second)).toBe(completionTextOf(expected));
+      expect(await caller.getProgram(program)).toMatchObject({ message_count: 2 });
     });
 
-    it('never gives a streaming caller an answer put together from two', async () => {
-      const caller = await start(BREAKS);
+    it('ends the stream of the caller with an error instead of a second attempt', async () => {
+      const caller = await start(STREAM_ABORTS);
       const program = await caller.createProgram();
-      const broken = await caller.turn(program, 1, 'Which row?', { stream: true });
+      const broken = await caller.sendTurn(program, 1, 'Which row?', { stream: true });
       expect(broken.text).toContain('"code":"target-failed"');
       expect(broken.text).not.toContain('[DONE]');
       expect(broken.text.match(/"content"/g)).toHaveLength(3);
-      expect(await caller.program(program)).toMatchObject({ message_count: 0, next_sequence: 1 });
+      expect(await caller.getProgram(program)).toMatchObject({
+        message_count: 0,
+        next_sequence: 1,
+      });
     });
 
-    it('counts what it may have used as spent', async () => {
-      const caller = await start(BREAKS);
+    it('has the tokens that it may have used counted as spent', async () => {
+      const caller = await start(STREAM_ABORTS);
       const program = await caller.createProgram();
-      await caller.turn(program, 1, 'Which row?', { stream: true });
-      const { budget } = (await caller.program(program)) as {
+      await caller.sendTurn(program, 1, 'Which row?', { stream: true });
+      const { budget } = (await caller.getProgram(program)) as {
         readonly budget: Readonly<Record<string, number>>;
       };
       expect(budget['tokens_reserved']).toBe(0);
@@ -55,32 +58,38 @@
   });
 
   describe('an engine that answers 500', () => {
-    it('is tried elsewhere, and refused with Retry-After when all do', async () => {
+    it('gives 503 with Retry-After once all engines have failed', async () => {
       const caller = await start({ 'fail-status': 500 });
-      const reply = await caller.turn(await caller.createProgram(), 1, 'Which row?');
-      expect(reply).toMatchObject({ status: 503, outcome: 'unknown', retryAfter: '1' });
+      const response = await caller.sendTurn(await caller.createProgram(), 1, 'Which row?');
+      expect(response).toMatchObject({ status: 503, outcome: 'unknown', retryAfter: '1' });
     });
   });
 
-  describe('a service that loses its answer', () => {
-    it('is never asked again for a call that may not be repeated', async () => {
+  describe('a service whose response is lost', () => {
+    it('gets a non-repeatable call only once', async () => {
       const caller = await start({}, { 'lose-answers': 1 });
       const program = await caller.createProgram();
-      expect(await caller.fee(program, 1)).toMatchObject({ status: 502, outcome: 'unknown' });
-      expect(await caller.fee(program, 1)).toMatchObject({ status: 502, outcome: 'unknown' });
-      expect(await caller.executions()).toBe(1);
-      expect(await caller.fee(program, 2)).toMatchObject({ status: 200 });
-      expect(await caller.executions()).toBe(2);
+      expect(await caller.chargeBagFee(program, 1)).toMatchObject({
+        status: 502,
+        outcome: 'unknown',
+      });
+      expect(await caller.chargeBagFee(program, 1)).toMatchObject({
+        status: 502,
+        outcome: 'unknown',
+      });
+      expect(await caller.countExecutions()).toBe(1);
+      expect(await caller.chargeBagFee(program, 2)).toMatchObject({ status: 200 });
+      expect(await caller.countExecutions()).toBe(2);
     });
   });
 
-  describe('a service that drops a call before it runs', () => {
-    it('leaves the outcome unknown, and the call is not run later', async () => {
+  describe('a service that drops a call before running it', () => {
+    it('leaves the outcome unknown, and the call does not run later', async () => {
       const caller = await start({}, { 'lose-calls': 1 });
       const program = await caller.createProgram();
-      expect(await caller.fee(program, 1)).toMatchObject({ outcome: 'unknown' });
-      expect(await caller.fee(program, 1)).toMatchObject({ outcome: 'unknown' });
-      expect(await caller.executions()).toBe(0);
+      expect(await caller.chargeBagFee(program, 1)).toMatchObject({ outcome: 'unknown' });
+      expect(await caller.chargeBagFee(program, 1)).toMatchObject({ outcome: 'unknown' });
+      expect(await caller.countExecutions()).toBe(0);
     });
   });
 });
