--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -33,8 +33,8 @@
 const withoutHttp2 = {
   name: 'without-http2',
   setup({ onResolve, onLoad }) {
-    onResolve({ filter: /^node:http2$/ }, ({ path }) => ({ path, namespace: 'left-out' }));
-    onLoad({ filter: /.*/, namespace: 'left-out' }, ({ path }) => ({
+    onResolve({ filter: /^node:http2$/ }, ({ path }) => ({ path, namespace: 'excluded' }));
+    onLoad({ filter: /.*/, namespace: 'excluded' }, ({ path }) => ({
       contents: `throw new Error('${path} is excluded from this bundle')`,
     }));
   },
--- a/scripts/separate/layout.ts
+++ b/scripts/separate/layout.ts
@@ -54,7 +54,7 @@
 const PROCESS_CREDENTIAL = 'separate-process-credential';
 export const OPERATOR_CREDENTIAL = 'separate-operator-credential';
 
-/** Satisfies the type; every index is within the addresses found. */
+/** Satisfies the type; every index is within the list of free addresses. */
 const PLACEHOLDER_ADDRESS: Address = { host: '127.0.0.1', port: 1 };
 
 const AVAILABILITY_ZONES = ['zone-a', 'zone-b'] as const;
--- a/scripts/separate/system-process.ts
+++ b/scripts/separate/system-process.ts
@@ -57,7 +57,9 @@
     this.#process.kill(signal);
   }
 
-  /** Resolves with the first matching log line, which may be an earlier one; rejects at the exit. */
+  /**
+   * Resolves with the first matching log line, which may be an earlier one; rejects at the exit.
+   */
   async waitForLog(matches: (line: LogLine) => boolean): Promise<LogLine> {
     const earlier = this.#lines.find(matches);
     if (earlier !== undefined) return earlier;
--- a/scripts/separate/system.ts
+++ b/scripts/separate/system.ts
@@ -135,9 +135,9 @@
     }
   }
 
-  /** Polls until the condition holds. */
-  async until(holds: () => Promise<boolean>): Promise<void> {
-    while (!(await holds())) await delay(this.#clock, POLL_INTERVAL_MILLISECONDS);
+  /** Polls until the condition is true. */
+  async until(condition: () => Promise<boolean>): Promise<void> {
+    while (!(await condition())) await delay(this.#clock, POLL_INTERVAL_MILLISECONDS);
   }
 
   /** Sends SIGTERM to all processes; returns their exit codes or signals by name. */
--- a/src/configuration/active-configuration.ts
+++ b/src/configuration/active-configuration.ts
@@ -41,7 +41,9 @@
     return this.#incomplete ? 0 : this.number;
   }
 
-  /** Activates a configuration if its number is higher, its files match its digest and it is valid. */
+  /**
+   * Activates a configuration if its number is higher, its files match its digest and it is valid.
+   */
   adopt({ number, digest, names, changed }: ConfigurationUpdate): AdoptOutcome {
     if (number <= this.number) return 'not-newer';
     const available = new Map([
--- a/src/configuration/diff.ts
+++ b/src/configuration/diff.ts
@@ -12,7 +12,9 @@
   readonly name: string;
 }
 
-/** Lists the entries of `next` that were added, changed or removed, in the order of the sections. */
+/**
+ * Lists the entries of `next` that were added, changed or removed, in the order of the sections.
+ */
 export function diffConfigurations(
   current: Configuration | undefined,
   next: Configuration,
--- a/src/configuration/directory.ts
+++ b/src/configuration/directory.ts
@@ -17,7 +17,7 @@
       return Ok(names.map((name) => ({ name, text: readFileSync(join(directory, name), 'utf8') })));
     }
     const message =
-      'no file ending in .toml; give the directory that holds the configuration files';
+      'no file ending in .toml; pass the directory that contains the configuration files';
     return Err(new ConfigurationError([{ code: 'empty_directory', path: [directory], message }]));
   } catch (error) {
     const message = `can't be read; check the path and its permissions: ${messageOf(error)}`;
--- a/src/configuration/tests/active-configuration.test.ts
+++ b/src/configuration/tests/active-configuration.test.ts
@@ -15,7 +15,7 @@
   return { number, digest: digestFiles(all), names, changed: all.filter(changed) };
 }
 
-function holdsNumber(file: SourceFile): boolean {
+function containsNumber(file: SourceFile): boolean {
   return file.name === 'places.toml';
 }
 
@@ -28,7 +28,7 @@
   });
 
   it('adopts a newer configuration from the changed files alone', () => {
-    expect(configuration.adopt(updateTo(4, holdsNumber))).toBe('adopted');
+    expect(configuration.adopt(updateTo(4, containsNumber))).toBe('adopted');
     expect(configuration.current).toMatchObject({ number: 4, digest: updateTo(4).digest });
   });
 
@@ -39,7 +39,7 @@
   });
 
   it('requests all files after a digest mismatch', () => {
-    expect(configuration.adopt({ ...updateTo(5, holdsNumber), digest: 'another' })).toBe(
+    expect(configuration.adopt({ ...updateTo(5, containsNumber), digest: 'another' })).toBe(
       'incomplete',
     );
     expect(configuration).toMatchObject({ number: 3, deltaBaseNumber: 0 });
@@ -49,7 +49,7 @@
 
   it('returns `incomplete` when a named file is missing', () => {
     const { names } = updateTo(4);
-    const missing = { ...updateTo(4, holdsNumber), names: [...names, 'new.toml'] };
+    const missing = { ...updateTo(4, containsNumber), names: [...names, 'new.toml'] };
     expect(configuration.adopt(missing)).toBe('incomplete');
   });
 });
--- a/src/entry/directory.ts
+++ b/src/entry/directory.ts
@@ -27,7 +27,7 @@
     this.#clock = clock;
   }
 
-  /** Epoch and version of the latest changes applied; the next watch asks for newer ones. */
+  /** Epoch and version of the latest changes applied; the next watch requests newer ones. */
   get position(): { readonly epoch: number; readonly version: number } {
     return { epoch: this.#epoch, version: this.#version };
   }
--- a/src/entry/engine-turn.ts
+++ b/src/entry/engine-turn.ts
@@ -46,7 +46,7 @@
 
 const MAX_ATTEMPTS = 3;
 
-/** The engine rejected the request as invalid; other engines would do the same. */
+/** The engine rejected the request as invalid; other engines would reject it too. */
 class EngineRejection extends Error {
   readonly status: number;
 
--- a/src/entry/pass-through.ts
+++ b/src/entry/pass-through.ts
@@ -15,7 +15,10 @@
   readonly path: string;
 }
 
-/** Headers that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1). */
+/**
+ * Headers that are not forwarded: those of a single connection (RFC 9110, section 7.6.1), and those
+ * that the HTTP client sets itself.
+ */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -28,7 +31,7 @@
   'expect',
 ]);
 
-/** Removes the headers that apply to a single connection only. */
+/** Removes the headers that are not forwarded. */
 export function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[]> {
--- a/src/entry/step.ts
+++ b/src/entry/step.ts
@@ -20,7 +20,7 @@
   return { id, team: team.name, configurationNumber: context.configuration.number };
 }
 
-/** Longest time that the leader holds one `begin` request. */
+/** Maximum time for which one `begin` request waits at the leader. */
 const BEGIN_WAIT_LIMIT_MILLISECONDS = 10_000;
 
 /** Added to the wait: the leader responds only when the wait ends. */
@@ -64,7 +64,7 @@
 ): Promise<BeginResult> {
   for (;;) {
     const remaining = deadline - context.clock.monotonic();
-    const outcome = await askBegin(context, step, remaining);
+    const outcome = await requestBegin(context, step, remaining);
     switch (outcome.outcome) {
       case 'run':
         return { kind: 'run', run: outcome };
@@ -89,7 +89,7 @@
   }
 }
 
-function askBegin(
+function requestBegin(
   context: EntryContext,
   step: BeginStep,
   remaining: number,
@@ -165,7 +165,7 @@
 ): Promise<ResolveStep['finding']> {
   const target = context.directory.find(requireConfiguration(context), step.claim.target);
   if (target === undefined) return { kind: 'unknown' };
-  const state = await askSidecar(context, target, step);
+  const state = await fetchAttemptState(context, target, step);
   switch (state.state) {
     case 'revoked':
       return { kind: 'not-run' };
@@ -183,8 +183,8 @@
   }
 }
 
-/** Throws a retryable refusal when the sidecar does not answer; it may know the outcome later. */
-async function askSidecar(
+/** Throws a retryable refusal when the sidecar does not respond; a later request may succeed. */
+async function fetchAttemptState(
   context: EntryContext,
   target: Target,
   step: AttemptToSettle,
@@ -205,7 +205,9 @@
   }
 }
 
-/** Stores a step's answer; resolves with the other entry's answer if one took the step over. */
+/**
+ * Stores a step's answer; resolves with the stored one if another entry completed the step first.
+ */
 export async function completeStep(context: EntryContext, step: CompleteStep): Promise<Answer> {
   const outcome = await callControl('unknown', () =>
     context.control.call(
--- a/src/explain/log-trace.ts
+++ b/src/explain/log-trace.ts
@@ -32,13 +32,13 @@
 
 /** Keeps the first line of each event and counts the others in its `repeated`. */
 function collapseRepeats(lines: readonly LogLine[]): readonly LogLine[] {
-  const folded = new Map<string, LogLine>();
+  const firstLines = new Map<string, LogLine>();
   for (const line of lines) {
-    const first = folded.get(line.event);
-    if (first === undefined) folded.set(line.event, line);
-    else folded.set(line.event, { ...first, repeated: (first.repeated ?? 1) + 1 });
+    const first = firstLines.get(line.event);
+    if (first === undefined) firstLines.set(line.event, line);
+    else firstLines.set(line.event, { ...first, repeated: (first.repeated ?? 1) + 1 });
   }
-  return [...folded.values()];
+  return [...firstLines.values()];
 }
 
 /** Both times are on the same host's clock; the line of a request is written at its end. */
--- a/src/local/free-address.ts
+++ b/src/local/free-address.ts
@@ -47,7 +47,7 @@
       lock.unref();
       return new PortRange(index);
     }
-    throw new Error(`All ${RANGE_COUNT} port ranges from ${FIRST_PORT} on are in use`);
+    throw new Error(`all ${RANGE_COUNT} port ranges from ${FIRST_PORT} on are in use`);
   }
 
   async nextFreePort(host: string): Promise<number> {
@@ -60,7 +60,7 @@
       return port;
     }
     throw new Error(
-      `All ports from ${this.#firstPort} to ${this.#firstPort + PORTS_PER_RANGE} are in use`,
+      `all ports from ${this.#firstPort} to ${this.#firstPort + PORTS_PER_RANGE} are in use`,
     );
   }
 }
--- a/src/protocol/control-client.ts
+++ b/src/protocol/control-client.ts
@@ -15,7 +15,7 @@
 import type { NotLeader } from './schemas';
 import { ControlSocket, socketLink } from './socket';
 
-/** No control host, or no majority of them, answered in time. */
+/** No control host, or no quorum of them, answered in time. */
 export class ControlUnavailableError extends MartenbayError {
   /** Whether the credential was refused; a retry fails the same way. */
   readonly unauthorized: boolean;
@@ -35,7 +35,7 @@
   readonly members: readonly ControlMember[];
   readonly credential: string;
   readonly clock: Clock;
-  /** Longest wait for one member's answer, in milliseconds. */
+  /** Time limit for one member's answer, in milliseconds. */
   readonly attemptMilliseconds?: number;
 }
 
@@ -70,7 +70,7 @@
   readonly #clock: Clock;
   readonly #attemptMilliseconds: number;
   readonly #members: readonly MemberConnection[];
-  /** Calls in flight, by abort controller, with the member that each waits for. */
+  /** Calls in flight, by abort controller, with the member that each was sent to. */
   readonly #attempts = new Map<AbortController, MemberConnection>();
   readonly #probesInFlight = new Set<MemberConnection>();
   /** Index of the member that is called first, by group. */
@@ -101,20 +101,20 @@
   }
 
   /**
-   * Calls every member; resolves with all answers, once every call has settled, if a majority
+   * Calls every member; resolves with all answers, once every call has settled, if a quorum
    * answered.
    *
-   * @throws {@link ControlUnavailableError} when a majority did not answer in time
+   * @throws {@link ControlUnavailableError} when no quorum answered in time
    */
-  async queryMajority<T>(
+  async queryQuorum<T>(
     operation: (connection: ControlConnection, signal: AbortSignal) => Promise<T>,
   ): Promise<readonly T[]> {
-    const majority = Math.floor(this.#members.length / 2) + 1;
+    const quorum = Math.floor(this.#members.length / 2) + 1;
     const limit = this.#attemptMilliseconds;
     const attempts = this.#members.map((member) => this.#attempt(member, operation, limit));
     const settled = await Promise.allSettled(attempts);
     const answers = settled.flatMap((call) => (call.status === 'fulfilled' ? [call.value] : []));
-    if (answers.length >= majority) return answers;
+    if (answers.length >= quorum) return answers;
     const message = `${answers.length} of ${this.#members.length} control hosts answered`;
     throw new ControlUnavailableError(message, false);
   }
@@ -132,7 +132,7 @@
     const { group = CONFIGURATION_GROUP, deadlineMilliseconds = 10_000 } = options;
     const { attemptMilliseconds = this.#attemptMilliseconds } = options;
     const deadline = this.#clock.monotonic() + deadlineMilliseconds;
-    let failure: unknown = new Error('no control host leads');
+    let failure: unknown = new Error('no control host is the leader');
     for (;;) {
       const remaining = deadline - this.#clock.monotonic();
       if (remaining <= 0 || this.#stopped) break;
@@ -179,7 +179,7 @@
   }
 
   /**
-   * Probes a member periodically while it holds a call, to detect that it is suspended or
+   * Probes a member periodically while a call to it is in flight, to detect that it is suspended or
    * unreachable. The leader of the configuration is not probed: heartbeats to it detect the same.
    */
   #startProbing(member: MemberConnection): CancelTimer {
@@ -214,7 +214,7 @@
   }
 
   /**
-   * Aborts every call that waits for a member, so that long calls are retried at another member
+   * Aborts every call in flight to a member, so that long calls are retried at another member
    * without waiting for their own timeout. One unanswered call or probe is enough.
    */
   #abortAttempts(member: MemberConnection, reason: Error): void {
--- a/src/protocol/control-session.ts
+++ b/src/protocol/control-session.ts
@@ -37,13 +37,13 @@
   void session.sendHeartbeat();
 }
 
-/** Longest time that the leader holds a watch while nothing changes. */
+/** Time after which the leader responds to a watch (a long poll) even if nothing has changed. */
 const WATCH_WAIT_MILLISECONDS = 10_000;
 
 /** Added to the wait: the leader responds only when the wait ends. */
 const RESPONSE_MARGIN_MILLISECONDS = 2000;
 
-/** After this time without an answer the leader counts as suspended or unreachable. */
+/** After this time without a response the leader is treated as suspended or unreachable. */
 const HEARTBEAT_TIMEOUT_MILLISECONDS = 1000;
 
 const HEARTBEAT_DEADLINE_MILLISECONDS = 3000;
--- a/src/protocol/router.ts
+++ b/src/protocol/router.ts
@@ -73,13 +73,15 @@
   readonly answers: readonly GroupEnvelopes[];
 }
 
-/** Highest term of the configuration group that a control host knows, leader or not. */
+/** Highest term of the configuration group that a control host has seen, in any role. */
 export interface KnownTerm {
   readonly outcome: 'term';
   readonly term: number;
 }
 
-/** Whether an entry has certainly terminated, as known to the leader of the configuration group. */
+/**
+ * Whether an entry has certainly terminated, according to the leader of the configuration group.
+ */
 export interface EntryLivenessResult {
   readonly outcome: 'entry-life';
   readonly dead: boolean;
--- a/src/protocol/schemas.ts
+++ b/src/protocol/schemas.ts
@@ -46,7 +46,7 @@
   readonly leader?: string | undefined;
 }
 
-/** State of a target, as known to the leader of the configuration group. */
+/** State of a target, according to the leader of the configuration group. */
 export interface TargetRecord {
   readonly target: string;
   /** `lost`: the session expired without a heartbeat. */
--- a/src/settings/groups.ts
+++ b/src/settings/groups.ts
@@ -1,6 +1,6 @@
 import type { ClusterSettings } from './schema';
 
-/** A replication group of programs, and the control hosts that are its members, preferred leader first. */
+/** A replication group of programs; `hosts` are its members, the preferred leader first. */
 export interface ProgramGroup {
   readonly name: string;
   readonly region: string;
@@ -22,7 +22,7 @@
   });
 }
 
-/** Gives each group another preferred leader, to spread the leaders over the hosts. */
+/** Assigns each group another preferred leader, to spread the leaders over the hosts. */
 function rotate(hosts: readonly string[], count: number): readonly string[] {
   const start = count % hosts.length;
   return [...hosts.slice(start), ...hosts.slice(0, start)];
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -51,7 +51,9 @@
     'session-milliseconds': milliseconds.default(3000),
     /** How long an ended program and its answers are kept for repeated requests. */
     'retention-seconds': z.int().positive().default(600),
-    /** Interval of the checks for expired programs, targets without a session and pending orders. */
+    /**
+     * Interval of the checks for expired programs, targets without a session and pending orders.
+     */
     'sweep-milliseconds': milliseconds.default(1000),
   }),
   /** Host list of the platform. Without it, only its sidecar reports that a target is draining. */
--- a/src/sidecar/orders.ts
+++ b/src/sidecar/orders.ts
@@ -5,7 +5,7 @@
 export interface OrderRunnerOptions {
   readonly client: TargetClient;
   readonly logger: Logger;
-  /** Queries a quorum of the control hosts for the highest term known to them. */
+  /** Queries a quorum of the control hosts for the highest term that they have seen. */
   readonly fetchHighestTerm: () => Promise<number>;
   /** Reports completed orders to the leader, by id. */
   readonly confirm: (orders: readonly string[]) => Promise<void>;
@@ -13,7 +13,7 @@
 
 /**
  * Executes orders of the leader at the target, with the leader's term as fencing token. Orders from
- * a lower term than the highest known are rejected, since not every target checks the token. After
+ * a lower term than the highest seen are rejected, since not every target checks the token. After
  * a start no term is known: before the first order the highest one is queried from a quorum, since
  * every leader was elected by a quorum.
  */
@@ -26,7 +26,9 @@
     this.#options = options;
   }
 
-  /** Executes orders of one leader and confirms the accepted ones; resolves with whether all were. */
+  /**
+   * Executes orders of one leader and confirms the accepted ones; resolves with whether all were.
+   */
   async run(orders: readonly Order[], term: number): Promise<boolean> {
     if (!(await this.#ensureHighestTerm())) return false;
     if (term < this.#highestTerm) {
--- a/src/sidecar/process.ts
+++ b/src/sidecar/process.ts
@@ -60,7 +60,7 @@
     client: targetClient,
     logger,
     fetchHighestTerm: async () => {
-      const replies = await controlClient.queryMajority((connection, signal) =>
+      const replies = await controlClient.queryQuorum((connection, signal) =>
         connection.groups.knownTerm.query(undefined, { signal }),
       );
       return Math.max(...replies.map((reply) => reply.term));
@@ -72,12 +72,12 @@
     },
   });
   const onChanges = async (changes: WatchChanges) => {
-    applyConfigurationChange(configuration, changes, presence, logger);
+    applyConfigurationChange(configuration, changes, controlSession, logger);
     if (changes.orders.length === 0) return;
     const allCompleted = await orders.run(changes.orders, changes.term);
     if (!allCompleted) await delay(clock, ORDER_RETRY_DELAY_MILLISECONDS);
   };
-  const presence = new ControlSession({
+  const controlSession = new ControlSession({
     client: controlClient,
     clock,
     logger,
@@ -118,12 +118,12 @@
         : { running: proxy.running, waiting: 0 };
     }),
   );
-  lifeCycle.add('presence', presence);
+  lifeCycle.add('presence', controlSession);
   lifeCycle.add('drain', {
     stop: async () => {
       draining = true;
       const drained = proxy.drain();
-      await presence.sendHeartbeat();
+      await controlSession.sendHeartbeat();
       await drained;
     },
   });
--- a/src/sidecar/target-client.ts
+++ b/src/sidecar/target-client.ts
@@ -63,7 +63,9 @@
     });
   }
 
-  /** Sends JSON and parses the JSON response; resolves with `undefined` unless the status is 200. */
+  /**
+   * Sends JSON and parses the JSON response; resolves with `undefined` unless the status is 200.
+   */
   async requestJson(method: 'GET' | 'POST', path: string, content?: unknown): Promise<unknown> {
     const body = content === undefined ? '' : JSON.stringify(content);
     const { controller, cancel } = startTimeout(this.#clock, JSON_TIMEOUT_MILLISECONDS);
--- a/stand-ins/engine/events.ts
+++ b/stand-ins/engine/events.ts
@@ -5,7 +5,7 @@
 }
 
 export interface EventFaults {
-  /** Loses every n-th event; 0 for none. */
+  /** Drops every n-th event; 0 for none. */
   readonly loseEvery: number;
   /** Delay between a change and its event. */
   readonly delayMilliseconds: number;
@@ -13,7 +13,7 @@
 
 const MAX_RETAINED_EVENTS = 10_000;
 
-/** Numbered cache events, published with a delay and with gaps where events were lost. */
+/** Numbered cache events, published with a delay and with gaps where events were dropped. */
 export class EventLog {
   readonly #faults: EventFaults;
   readonly #now: () => number;
--- a/stand-ins/engine/orders.ts
+++ b/stand-ins/engine/orders.ts
@@ -3,7 +3,9 @@
 
 const fence = z.int().nonnegative();
 
-/** Body of `POST /orders`; `fence` is the fencing token, the term of the leader that sent the order. */
+/**
+ * Body of `POST /orders`; `fence` is the fencing token, the term of the leader that sent the order.
+ */
 export const engineOrderSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('release-cache'), program: z.string(), fence }),
   z.object({ kind: z.literal('load-model'), model: z.string(), version: z.string(), fence }),
--- a/stand-ins/engine/streams.ts
+++ b/stand-ins/engine/streams.ts
@@ -11,7 +11,9 @@
 /** Fixed creation time of all chunks, so that sessions are reproducible. */
 const CREATED_UNIX_SECONDS = 1_700_000_000;
 
-/** Server-sent events of one completion, kept for resumption, and the connection that reads them. */
+/**
+ * Server-sent events of one completion, kept for resumption, and the connection that reads them.
+ */
 export class CompletionStream {
   readonly head: StreamHead;
   readonly #events: string[] = [];
--- a/stand-ins/main.ts
+++ b/stand-ins/main.ts
@@ -62,7 +62,7 @@
 ];
 
 const program = new Command('stand-ins').description(
-  'Stand-ins for outside systems, for trials and tests.',
+  'Stand-ins for external systems, for demos and tests.',
 );
 for (const { name, description, create } of STAND_IN_KINDS) {
   program
--- a/stand-ins/tests/engine.test.ts
+++ b/stand-ins/tests/engine.test.ts
@@ -45,7 +45,7 @@
   }
 
   describe('its cache', () => {
-    it('holds the blocks of processed prompts until an order releases them', async () => {
+    it('retains the blocks of processed prompts until an order releases them', async () => {
       await start();
       const first = await chat('a');
       const second = await chat('b');
@@ -56,7 +56,7 @@
       expect((await send('GET', '/cache')).value).toMatchObject({ owners: {} });
     });
 
-    it('publishes changes after a delay, numbered, with gaps for lost events', async () => {
+    it('publishes changes after a delay, numbered, with gaps for dropped events', async () => {
       await start({ 'event-delay-milliseconds': 200, 'lose-every-event': 2 });
       await chat('a');
       expect((await send('GET', '/cache/events?after=0')).value).toEqual({ events: [] });
--- a/stand-ins/tests/platform.test.ts
+++ b/stand-ins/tests/platform.test.ts
@@ -10,9 +10,9 @@
   let server: Component;
 
   beforeEach(async () => {
-    const [free] = await findFreeAddresses(['127.0.0.1']);
-    if (free === undefined) throw new Error('no free address');
-    address = formatAddress(free);
+    const [freeAddress] = await findFreeAddresses(['127.0.0.1']);
+    if (freeAddress === undefined) throw new Error('no free address');
+    address = formatAddress(freeAddress);
   });
 
   afterEach(async () => {
--- a/stand-ins/weights.ts
+++ b/stand-ins/weights.ts
@@ -9,7 +9,9 @@
 });
 export type WeightsSettings = Readonly<z.output<typeof weightsSettingsSchema>>;
 
-/** A stand-in for the store of model weights; responds 429 to `GET /weights/{name}` above its rate. */
+/**
+ * A stand-in for the store of model weights; responds 429 to `GET /weights/{name}` above its rate.
+ */
 export class WeightStore implements Component {
   readonly #server: StandInServer;
 
