--- a/src/decisions/hedge-budget.ts
+++ b/src/decisions/hedge-budget.ts
@@ -1,5 +1,5 @@
-/** Hedged requests that can accumulate, so that a few late calls at once are all hedged. */
-const SAVED_HEDGES_LIMIT = 10;
+/** Capacity of the bucket, so that a few calls that are late at once are all hedged. */
+const MAXIMUM_AVAILABLE_HEDGES = 10;
 
 /**
  * Token bucket that limits hedged requests to a share of the calls, so that they don't amplify
@@ -7,7 +7,7 @@
  */
 export class HedgeBudget {
   readonly #hedgesPerCall: number;
-  #availableHedges = SAVED_HEDGES_LIMIT;
+  #availableHedges = MAXIMUM_AVAILABLE_HEDGES;
 
   constructor(hedgesPerCall: number) {
     this.#hedgesPerCall = hedgesPerCall;
@@ -16,12 +16,12 @@
   recordCall(): void {
     this.#availableHedges = Math.min(
       this.#availableHedges + this.#hedgesPerCall,
-      SAVED_HEDGES_LIMIT,
+      MAXIMUM_AVAILABLE_HEDGES,
     );
   }
 
   /** Consumes one hedged request; returns false if none is available. */
-  take(): boolean {
+  tryConsume(): boolean {
     if (this.#availableHedges < 1) return false;
     this.#availableHedges -= 1;
     return true;
--- a/src/decisions/latency-quantiles.ts
+++ b/src/decisions/latency-quantiles.ts
@@ -25,23 +25,23 @@
   }
 
   record(route: string, milliseconds: number): void {
-    const state = this.#routes.get(route) ?? {
+    const samples = this.#routes.get(route) ?? {
       milliseconds: [],
       nextIndex: 0,
       newSamples: 0,
       quantileMilliseconds: undefined,
     };
-    this.#routes.set(route, state);
-    state.milliseconds[state.nextIndex] = milliseconds;
-    state.nextIndex = (state.nextIndex + 1) % SAMPLE_LIMIT;
-    state.newSamples += 1;
-    if (state.milliseconds.length < MINIMUM_SAMPLES || state.newSamples < SAMPLES_PER_UPDATE)
+    this.#routes.set(route, samples);
+    samples.milliseconds[samples.nextIndex] = milliseconds;
+    samples.nextIndex = (samples.nextIndex + 1) % SAMPLE_LIMIT;
+    samples.newSamples += 1;
+    if (samples.milliseconds.length < MINIMUM_SAMPLES || samples.newSamples < SAMPLES_PER_UPDATE)
       return;
-    state.newSamples = 0;
-    state.quantileMilliseconds = this.#computeQuantile(state.milliseconds);
+    samples.newSamples = 0;
+    samples.quantileMilliseconds = this.#computeQuantile(samples.milliseconds);
   }
 
-  /** Milliseconds; undefined while the route has too few state. */
+  /** Milliseconds; undefined while the route has fewer than `MINIMUM_SAMPLES` samples. */
   quantileOf(route: string): number | undefined {
     return this.#routes.get(route)?.quantileMilliseconds;
   }
--- a/src/decisions/quota-refusal.ts
+++ b/src/decisions/quota-refusal.ts
@@ -2,7 +2,7 @@
 import type { ShareOutcome } from '../quotas';
 import type { Refusal } from './refusal';
 
-/** Base of `Retry-After` while the process that tracks the quota is unreachable. */
+/** Base of `Retry-After` while the quota allocator is unreachable. */
 const QUOTA_UNKNOWN_RETRY_SECONDS = 0.3;
 
 /** Maximum jitter, as a share of `Retry-After`, that spreads the retries of refused callers. */
--- a/src/decisions/retry.ts
+++ b/src/decisions/retry.ts
@@ -1,7 +1,7 @@
 import type { Route } from '../routes';
 import { type Refusal, refuseAfterDeadline, refuseUnknownOutcome } from './refusal';
 
-/** Number of targets that could not be reached after which a request is refused. */
+/** Number of unreachable targets after which a request is refused. */
 const UNREACHABLE_TARGET_LIMIT = 4;
 
 /** 421 Misdirected Request (RFC 9110): another server now has the address of the target. */
@@ -16,7 +16,7 @@
   | { readonly kind: 'not-sent'; readonly reason: string }
   /** The target reports that it did not run the request. */
   | { readonly kind: 'not-run'; readonly status: number }
-  /** The request may have run; `began` tells whether a part of the response was streamed. */
+  /** The request may have run. `began`: whether a part of the response was streamed. */
   | { readonly kind: 'unknown'; readonly reason: string; readonly began: boolean }
   /** The gateway aborted the attempt at the deadline or because the caller disconnected. */
   | { readonly kind: 'given-up'; readonly sent: boolean; readonly began: boolean };
@@ -35,10 +35,10 @@
 
 export interface RetryInput {
   readonly route: Pick<Route, 'kind' | 'isResumable' | 'attempts'>;
-  readonly tries: AttemptCounts;
+  readonly attemptCounts: AttemptCounts;
   /** Outcome of the latest attempt. */
   readonly outcome: AttemptSummary;
-  readonly hasCallerLeft: boolean;
+  readonly hasCallerDisconnected: boolean;
   /** Whether retries are enabled in the settings. */
   readonly retries: boolean;
 }
@@ -47,9 +47,9 @@
 export type NextStep =
   | { readonly kind: 'deliver' }
   | { readonly kind: 'caller-left' }
-  | { readonly kind: 'try-another'; readonly tries: AttemptCounts }
+  | { readonly kind: 'try-another'; readonly attemptCounts: AttemptCounts }
   /** No further attempt is allowed. */
-  | { readonly kind: 'exhausted'; readonly tries: AttemptCounts }
+  | { readonly kind: 'exhausted'; readonly attemptCounts: AttemptCounts }
   | {
       readonly kind: 'refuse';
       readonly refusal: Refusal;
@@ -65,9 +65,9 @@
  */
 export function decideNext({
   route,
-  tries,
+  attemptCounts,
   outcome,
-  hasCallerLeft,
+  hasCallerDisconnected,
   retries,
 }: RetryInput): NextStep {
   switch (outcome.kind) {
@@ -75,8 +75,8 @@
     case 'streamed':
       return { kind: 'deliver' };
     case 'given-up': {
-      if (hasCallerLeft) return { kind: 'caller-left' };
-      const mayHaveRun = tries.mayHaveRun || outcome.sent;
+      if (hasCallerDisconnected) return { kind: 'caller-left' };
+      const mayHaveRun = attemptCounts.mayHaveRun || outcome.sent;
       const refusal = refuseAfterDeadline(mayHaveRun);
       return { kind: 'refuse', refusal, began: outcome.began, isNotRun: !mayHaveRun };
     }
@@ -87,36 +87,47 @@
       }
       return retryOrExhaust(
         route,
-        { ...tries, reached: tries.reached + 1, mayHaveRun: true },
+        { ...attemptCounts, reached: attemptCounts.reached + 1, mayHaveRun: true },
         retries,
       );
     case 'not-sent':
-      return retryOrExhaust(route, { ...tries, unreached: tries.unreached + 1 }, retries);
+      return retryOrExhaust(
+        route,
+        { ...attemptCounts, unreached: attemptCounts.unreached + 1 },
+        retries,
+      );
     case 'not-run':
-      return retryOrExhaust(route, countRejected(tries, outcome.status), retries);
+      return retryOrExhaust(route, countRejected(attemptCounts, outcome.status), retries);
   }
 }
 
 /** Whether a hedged request may be sent while the first attempt is outstanding. */
-export function mayHedge({ kind, attempts }: RetryInput['route'], tries: AttemptCounts): boolean {
-  return kind === 'repeatable' && tries.reached + 1 < attempts;
+export function mayHedge(
+  { kind, attempts }: RetryInput['route'],
+  attemptCounts: AttemptCounts,
+): boolean {
+  return kind === 'repeatable' && attemptCounts.reached + 1 < attempts;
 }
 
 /**
  * A misdirected request never reached its target, so it does not count against the route's limit.
  */
-function countRejected(tries: AttemptCounts, status: number): AttemptCounts {
-  if (status === MISDIRECTED_REQUEST_STATUS) return { ...tries, unreached: tries.unreached + 1 };
-  return { ...tries, reached: tries.reached + 1 };
+function countRejected(attemptCounts: AttemptCounts, status: number): AttemptCounts {
+  if (status === MISDIRECTED_REQUEST_STATUS)
+    return { ...attemptCounts, unreached: attemptCounts.unreached + 1 };
+  return { ...attemptCounts, reached: attemptCounts.reached + 1 };
 }
 
 function retryOrExhaust(
   { attempts }: RetryInput['route'],
-  tries: AttemptCounts,
+  attemptCounts: AttemptCounts,
   retries: boolean,
 ): NextStep {
-  const isExhausted = tries.reached >= attempts || tries.unreached >= UNREACHABLE_TARGET_LIMIT;
-  return isExhausted || !retries ? { kind: 'exhausted', tries } : { kind: 'try-another', tries };
+  const isExhausted =
+    attemptCounts.reached >= attempts || attemptCounts.unreached >= UNREACHABLE_TARGET_LIMIT;
+  return isExhausted || !retries
+    ? { kind: 'exhausted', attemptCounts }
+    : { kind: 'try-another', attemptCounts };
 }
 
 /** Whether a request with an unknown outcome may be sent again. */
--- a/src/decisions/tests/key-check.test.ts
+++ b/src/decisions/tests/key-check.test.ts
@@ -16,8 +16,8 @@
     });
 
     it('refuses with 503 and Retry-After when the confirmation has expired', () => {
-      const snapshot = { identity: IDENTITY, confirmationAge: Infinity, removalMilliseconds };
-      expect(checkKey(snapshot)).toMatchObject({
+      const input = { identity: IDENTITY, confirmationAge: Infinity, removalMilliseconds };
+      expect(checkKey(input)).toMatchObject({
         refusal: { status: 503, code: 'keys_unconfirmed', retryAfterSeconds: 0.6 },
       });
     });
--- a/src/decisions/tests/retry.test.ts
+++ b/src/decisions/tests/retry.test.ts
@@ -12,21 +12,24 @@
   outcome: AttemptSummary,
   route: Parameters<typeof mayHedge>[0] = ONCE,
   overrides: {
-    readonly tries?: AttemptCounts;
-    readonly hasCallerLeft?: boolean;
+    readonly attemptCounts?: AttemptCounts;
+    readonly hasCallerDisconnected?: boolean;
     readonly retries?: boolean;
   } = {},
 ) {
-  const { tries = NO_ATTEMPTS, hasCallerLeft = false, retries = true } = overrides;
-  return decideNext({ route, tries, outcome, hasCallerLeft, retries });
+  const { attemptCounts = NO_ATTEMPTS, hasCallerDisconnected = false, retries = true } = overrides;
+  return decideNext({ route, attemptCounts, outcome, hasCallerDisconnected, retries });
 }
 
 describe('decideNext', () => {
   describe('after an attempt that did not run', () => {
     it('retries at another target up to the attempt limit of the route', () => {
       const second = nextStep(REJECTED);
-      expect(second).toEqual({ kind: 'try-another', tries: { ...NO_ATTEMPTS, reached: 1 } });
-      expect(nextStep(REJECTED, ONCE, { tries: { ...NO_ATTEMPTS, reached: 1 } }).kind).toBe(
+      expect(second).toEqual({
+        kind: 'try-another',
+        attemptCounts: { ...NO_ATTEMPTS, reached: 1 },
+      });
+      expect(nextStep(REJECTED, ONCE, { attemptCounts: { ...NO_ATTEMPTS, reached: 1 } }).kind).toBe(
         'exhausted',
       );
     });
@@ -35,18 +38,18 @@
       const misdirected = nextStep({ kind: 'not-run', status: 421 });
       expect(misdirected).toMatchObject({
         kind: 'try-another',
-        tries: { reached: 0, unreached: 1 },
+        attemptCounts: { reached: 0, unreached: 1 },
       });
     });
 
-    it('gives up after four unreachable targets', () => {
-      let tries: AttemptCounts = NO_ATTEMPTS;
+    it('allows no further attempt after four unreachable targets', () => {
+      let attemptCounts: AttemptCounts = NO_ATTEMPTS;
       for (let count = 0; count < 3; count += 1) {
-        const step = nextStep(UNREACHABLE, ONCE, { tries });
+        const step = nextStep(UNREACHABLE, ONCE, { attemptCounts });
         if (step.kind !== 'try-another') throw new Error(step.kind);
-        tries = step.tries;
+        attemptCounts = step.attemptCounts;
       }
-      expect(nextStep(UNREACHABLE, ONCE, { tries }).kind).toBe('exhausted');
+      expect(nextStep(UNREACHABLE, ONCE, { attemptCounts }).kind).toBe('exhausted');
     });
 
     it('does not retry when retries are disabled', () => {
@@ -62,7 +65,7 @@
     });
 
     it('retries when the route is repeatable or resumable', () => {
-      const retry = { kind: 'try-another', tries: { mayHaveRun: true } };
+      const retry = { kind: 'try-another', attemptCounts: { mayHaveRun: true } };
       expect(nextStep(CONNECTION_RESET, REPEATABLE)).toMatchObject(retry);
       expect(nextStep(CONNECTION_RESET, { ...STREAM, isResumable: true })).toMatchObject(retry);
     });
@@ -80,18 +83,20 @@
       expect(nextStep(sent)).toMatchObject({ refusal: { status: 504 }, isNotRun: false });
       const unsent: AttemptSummary = { kind: 'given-up', sent: false, began: false };
       expect(nextStep(unsent)).toMatchObject({ refusal: { status: 503 }, isNotRun: true });
-      const tries = { ...NO_ATTEMPTS, mayHaveRun: true };
-      expect(nextStep(unsent, REPEATABLE, { tries })).toMatchObject({ isNotRun: false });
+      const attemptCounts = { ...NO_ATTEMPTS, mayHaveRun: true };
+      expect(nextStep(unsent, REPEATABLE, { attemptCounts })).toMatchObject({ isNotRun: false });
     });
 
     it('reports caller-left when the caller has disconnected', () => {
-      expect(nextStep(sent, ONCE, { hasCallerLeft: true })).toEqual({ kind: 'caller-left' });
+      expect(nextStep(sent, ONCE, { hasCallerDisconnected: true })).toEqual({
+        kind: 'caller-left',
+      });
     });
   });
 });
 
 describe('mayHedge', () => {
-  it('allows repeatable calls with an attempt left only', () => {
+  it('allows only repeatable calls with an attempt left', () => {
     expect(mayHedge(REPEATABLE, NO_ATTEMPTS)).toBe(true);
     expect(mayHedge(REPEATABLE, { ...NO_ATTEMPTS, reached: 1 })).toBe(false);
     expect(mayHedge(ONCE, NO_ATTEMPTS)).toBe(false);
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -57,10 +57,10 @@
     return this.#hasDisconnected;
   }
 
-  /** Monotonic time in milliseconds, from the caller's or the route's timeout, whichever is shorter. */
+  /** Monotonic time in milliseconds, after the shorter of the caller's and the route's timeout. */
   get deadline(): number {
-    const wait = this.head.waitMilliseconds ?? Infinity;
-    return this.arrivedAt + Math.min(wait, this.#route?.timeoutMilliseconds ?? Infinity);
+    const callerTimeout = this.head.waitMilliseconds ?? Infinity;
+    return this.arrivedAt + Math.min(callerTimeout, this.#route?.timeoutMilliseconds ?? Infinity);
   }
 
   get remainingMilliseconds(): number {
--- a/src/gateway/forwarder.ts
+++ b/src/gateway/forwarder.ts
@@ -29,7 +29,7 @@
 export interface ForwarderOptions {
   readonly targets: TargetDirectory;
   readonly chooser: Pick<TargetChooser, 'choose'>;
-  readonly placers: PlacementPolicies;
+  readonly placementPolicies: PlacementPolicies;
   readonly sender: Pick<Sender, 'send'>;
   readonly keyGuard: Pick<KeyGuard, 'recheck'>;
   readonly durations: Pick<DurationAverages, 'averageOf'>;
@@ -105,9 +105,9 @@
         case 'refuse':
           return { ...next, kind: 'refused' };
         case 'exhausted':
-          return this.#refuseExhausted(progress, next.tries);
+          return this.#refuseExhausted(progress, next.attemptCounts);
         case 'try-another':
-          attempts = next.tries;
+          attempts = next.attemptCounts;
       }
     }
   }
@@ -120,9 +120,9 @@
     const { retries } = this.#options.switches;
     return decideNext({
       route,
-      tries: attempts,
+      attemptCounts: attempts,
       outcome,
-      hasCallerLeft: exchange.hasDisconnected(),
+      hasCallerDisconnected: exchange.hasDisconnected(),
       retries,
     });
   }
@@ -153,11 +153,11 @@
   }
 
   #chooseTarget({ request, service, tried }: ForwardProgress): Placement | undefined {
-    const { placers, chooser } = this.#options;
+    const { placementPolicies, chooser } = this.#options;
     const settings = request.table.service(service);
     const placement = chooser.choose({
       service,
-      policy: settings?.engine === undefined ? placers.slot : placers.engine,
+      policy: settings?.engine === undefined ? placementPolicies.slot : placementPolicies.engine,
       placement: request.placement,
       tried,
       connectionLimit: settings?.connectionLimit ?? Infinity,
--- a/src/gateway/key-guard.ts
+++ b/src/gateway/key-guard.ts
@@ -13,12 +13,12 @@
 import type { Exchange } from './exchange';
 
 /**
- * Time for which a caller waits for a confirmation by the leader before it is refused. Milliseconds; two
- * heartbeats of the leader.
+ * Time for which a request waits for a confirmation by the leader before it is refused; two
+ * intervals of the heartbeats to the leader.
  */
 const CONFIRMATION_TIMEOUT_MILLISECONDS = 600;
 
-/** Callers that may wait at once, so that requests with forged keys cannot exhaust memory. */
+/** Requests that may wait at once, so that requests with forged keys cannot exhaust memory. */
 const CONFIRMATION_WAITERS_LIMIT = 256;
 
 export interface KeyGuardOptions {
@@ -47,19 +47,20 @@
     const { routes, removalMilliseconds, confirmation } = this.#options;
     if (routes()?.teams === undefined) return true;
     return (
-      this.#knowsNewest && isConfirmationValid(confirmation.ageMilliseconds, removalMilliseconds)
+      this.#hasNewestConfiguration &&
+      isConfirmationValid(confirmation.ageMilliseconds, removalMilliseconds)
     );
   }
 
   /** Sets the caller's team on the exchange; returns a refusal if the caller may not be served. */
   async admit(exchange: Exchange, route: Route): Promise<Refusal | undefined> {
     const identity = this.#identify(exchange, route.isPublic);
-    const verdict = this.#judgeIdentity(identity);
-    const mustWait = identity.kind === 'team' ? this.#awaitsConfirmation : verdict.kind === 'ask';
-    if (!mustWait) return this.#applyVerdict(exchange, identity, verdict);
+    const decision = this.#checkIdentity(identity);
+    const mustWait = identity.kind === 'team' ? this.#awaitsConfirmation : decision.kind === 'ask';
+    if (!mustWait) return this.#applyDecision(exchange, identity, decision);
     await this.#awaitConfirmation(exchange);
     const updated = this.#identify(exchange, route.isPublic);
-    return this.#applyVerdict(exchange, updated, this.#judgeIdentity(updated));
+    return this.#applyDecision(exchange, updated, this.#checkIdentity(updated));
   }
 
   /** Returns a refusal if the key of an admitted request is no longer valid. */
@@ -68,17 +69,21 @@
     if (team === undefined) return undefined;
     const identity = this.#identify(exchange, false);
     if (identity.kind !== 'team' || identity.team.name !== team.name) return UNKNOWN_KEY;
-    const verdict = this.#judgeIdentity(identity);
-    return verdict.kind === 'refuse' ? verdict.refusal : undefined;
+    const decision = this.#checkIdentity(identity);
+    return decision.kind === 'refuse' ? decision.refusal : undefined;
   }
 
-  #applyVerdict(exchange: Exchange, identity: Identity, verdict: KeyDecision): Refusal | undefined {
+  #applyDecision(
+    exchange: Exchange,
+    identity: Identity,
+    decision: KeyDecision,
+  ): Refusal | undefined {
     const { routes, confirmation, removalMilliseconds } = this.#options;
     exchange.hidesKey = routes()?.teams !== undefined;
     exchange.team = identity.kind === 'team' ? identity.team : undefined;
-    if (verdict.kind === 'serve') return undefined;
+    if (decision.kind === 'serve') return undefined;
     const refusal =
-      verdict.kind === 'refuse' ? verdict.refusal : this.#refusalForUnknownKey(exchange);
+      decision.kind === 'refuse' ? decision.refusal : this.#refusalForUnknownKey(exchange);
     const age = confirmation.ageMilliseconds;
     exchange.recordDecision({ step: 'key', verdict: refusal.code, age, removalMilliseconds });
     return refusal;
@@ -97,21 +102,22 @@
     return identify(this.#options.routes()?.teams, { key: head.key, isPublic });
   }
 
-  #judgeIdentity(identity: Identity): KeyDecision {
+  #checkIdentity(identity: Identity): KeyDecision {
     const { confirmation, removalMilliseconds } = this.#options;
-    const confirmationAge = this.#knowsNewest ? confirmation.ageMilliseconds : Infinity;
+    const confirmationAge = this.#hasNewestConfiguration ? confirmation.ageMilliseconds : Infinity;
     return checkKey({ identity, confirmationAge, removalMilliseconds });
   }
 
   /** False while the newest configuration cannot be parsed by this process. */
-  get #knowsNewest(): boolean {
+  get #hasNewestConfiguration(): boolean {
     const { routes, newestVersion } = this.#options;
     return routes()?.configuration.version === newestVersion();
   }
 
   /**
-   * Whether the confirmation has expired only because this process just started or was suspended, so that
-   * a new one is due shortly. A process that has lost the leader refuses at once.
+   * Whether the confirmation is missing or expired only because this process just started or was
+   * suspended, so that a new one is due shortly. A process that has lost its connection to the
+   * leader refuses at once.
    */
   get #awaitsConfirmation(): boolean {
     return !this.isConfirmed && this.#options.confirmation.isInGracePeriod;
--- a/src/gateway/request-hedger.ts
+++ b/src/gateway/request-hedger.ts
@@ -27,9 +27,9 @@
 }
 
 /**
- * Hedges repeatable calls: sends a call to a second target once it takes longer than a high quantile of
- * its route's latency (Dean and Barroso, "The Tail at Scale"). The slower attempt is not cancelled, since
- * that would close its connection.
+ * Hedges repeatable calls: sends a call to a second target once it takes longer than a high
+ * quantile of its route's latency (Dean and Barroso, "The Tail at Scale"). The slower attempt is
+ * not cancelled, since that would close its connection.
  */
 export class RequestHedger {
   readonly #clock: Clock;
@@ -45,7 +45,7 @@
     this.#budget.recordCall();
     const hedgeDelay = this.#latencyQuantiles.quantileOf(route);
     const isLate = hedgeDelay !== undefined && (await this.#isLaterThan(first, hedgeDelay));
-    const second = isLate && this.#budget.take() ? startSecondAttempt() : undefined;
+    const second = isLate && this.#budget.tryConsume() ? startSecondAttempt() : undefined;
     const outcome = await (second === undefined ? first : firstSuccess(first, second));
     if (outcome.kind === 'answered')
       this.#latencyQuantiles.record(route, this.#clock.monotonic() - startedAt);
@@ -72,13 +72,13 @@
 ): Promise<AttemptOutcome> {
   return new Promise((resolve, reject) => {
     let earlier: AttemptOutcome | undefined;
-    const take = (outcome: AttemptOutcome) => {
+    const onOutcome = (outcome: AttemptOutcome) => {
       if (isSuccess(outcome)) resolve(outcome);
       else if (earlier === undefined) earlier = outcome;
       else resolve(rankOf(outcome) > rankOf(earlier) ? outcome : earlier);
     };
-    first.then(take, reject);
-    second.then(take, reject);
+    first.then(onOutcome, reject);
+    second.then(onOutcome, reject);
   });
 }
 
--- a/src/gateway/sender.ts
+++ b/src/gateway/sender.ts
@@ -79,7 +79,7 @@
     const { exchange, body, receiver, priority } = request;
     const { rawHeaders, method = 'GET', url = '/' } = exchange.request;
     return new Attempt({
-      connection: connections.take(state),
+      connection: connections.acquire(state),
       wire,
       clock,
       requestId: exchange.head.id,
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -33,7 +33,7 @@
   readonly turnHandler: Pick<TurnHandler, 'handle'>;
   readonly keyGuard: Pick<KeyGuard, 'admit'>;
   readonly routes: () => RouteTable | undefined;
-  /** While false, callers are told to close their connections so that they reconnect elsewhere. */
+  /** While false, responses close their connections so that callers use other gateways. */
   readonly isReady: () => boolean;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -158,7 +158,7 @@
   retryAfterSeconds: CONFIGURATION_RETRY_SECONDS,
 };
 
-/** The caller may retry at once, since another gateway takes the request. */
+/** The caller may retry at once, since another gateway accepts the request. */
 const STOPPING: Refusal = {
   status: 503,
   code: 'stopping',
--- a/src/gateway/tests/forwarder.test.ts
+++ b/src/gateway/tests/forwarder.test.ts
@@ -61,10 +61,10 @@
   readonly recheck?: () => Refusal | undefined;
   readonly targets: TargetDirectory;
   readonly wire: WireFormat;
-  readonly take: () => TargetConnection;
+  readonly acquire: () => TargetConnection;
 }
 
-function createForwarder({ targets, wire, take, recheck }: ForwarderFixtureOptions): Forwarder {
+function createForwarder({ targets, wire, acquire, recheck }: ForwarderFixtureOptions): Forwarder {
   const shared = {
     clock: new ManualClock(),
     random: new SeededRandom(1),
@@ -77,11 +77,11 @@
   return new Forwarder({
     ...shared,
     chooser: new TargetChooser({ ...shared, availabilityZone: 'a' }),
-    placers: createPlacementPolicies(DEFAULT_DECISION_SWITCHES),
+    placementPolicies: createPlacementPolicies(DEFAULT_DECISION_SWITCHES),
     sender: new Sender({
       ...shared,
       wire,
-      connections: { take } as unknown as TargetConnectionPool,
+      connections: { acquire } as unknown as TargetConnectionPool,
     }),
   });
 }
@@ -90,9 +90,9 @@
   it('is refused as not run, without opening another connection', async () => {
     const clock = new ManualClock();
     const random = new SeededRandom(1);
-    const parts = { clock, random, logger: createSilentLogger() };
+    const shared = { clock, random, logger: createSilentLogger() };
     const targets = new TargetDirectory({
-      ...parts,
+      ...shared,
       source: { list: () => Promise.resolve([]) },
     });
     targets.update([
@@ -109,31 +109,31 @@
     if (state === undefined) throw new Error('target t is missing from the directory');
     state.inFlight = 1;
     state.inFlightFromOthers = 1;
-    const take = jest.fn();
-    const forwarder = createForwarder({ targets, wire: {} as WireFormat, take });
+    const acquire = jest.fn();
+    const forwarder = createForwarder({ targets, wire: {} as WireFormat, acquire });
     const outcome = await forwarder.forward(REQUEST);
     expect(outcome).toMatchObject({
       kind: 'refused',
       isNotRun: true,
       refusal: { status: 503, code: 'not_run' },
     });
-    expect(take).not.toHaveBeenCalled();
+    expect(acquire).not.toHaveBeenCalled();
   });
 });
 
-/** Sends a stream to two engines that both reset the connection before any event; counts attempts. */
+/** Counts the attempts of a stream at two engines that reset the connection before any event. */
 async function countAttempts(
   isResumable: boolean,
   recheck?: (attempts: number) => Refusal | undefined,
 ): Promise<number> {
   const clock = new ManualClock();
   const random = new SeededRandom(1);
-  const parts = { clock, random, logger: createSilentLogger() };
-  const targets = new TargetDirectory({ ...parts, source: { list: () => Promise.resolve([]) } });
+  const shared = { clock, random, logger: createSilentLogger() };
+  const targets = new TargetDirectory({ ...shared, source: { list: () => Promise.resolve([]) } });
   const listed = { service: 's', availabilityZone: 'a', slots: 1, draining: false };
   targets.update(['t1', 't2'].map((id) => ({ ...listed, id, address: `${id}:80` })));
   let attempts = 0;
-  const take = (): TargetConnection => ({
+  const acquire = (): TargetConnection => ({
     dispatch: (_options, handler) => {
       attempts += 1;
       const controller = { abort: () => undefined } as unknown as Dispatcher.DispatchController;
@@ -145,7 +145,7 @@
     discard: () => undefined,
   });
   const wire = { buildTargetHeaders: () => [] } as unknown as WireFormat;
-  const forwarder = createForwarder({ targets, wire, take, recheck: () => recheck?.(attempts) });
+  const forwarder = createForwarder({ targets, wire, acquire, recheck: () => recheck?.(attempts) });
   const exchange = {
     hasDisconnected: () => false,
     remainingMilliseconds: 500,
--- a/src/gateway/tests/graceful-shutdown.test.ts
+++ b/src/gateway/tests/graceful-shutdown.test.ts
@@ -68,11 +68,11 @@
   }
 
   async forward() {
-    const held = new Promise<void>((resolve) => {
+    const released = new Promise<void>((resolve) => {
       this.release = resolve;
     });
     this.#arrive();
-    await held;
+    await released;
     return { kind: 'answered', status: 200, headers: [], body: Buffer.from('done') } as const;
   }
 }
@@ -91,7 +91,7 @@
   });
 }
 
-describe('a gateway that is stopping', () => {
+describe('a draining gateway', () => {
   it('completes the request in progress and accepts no other', async () => {
     const [address] = await findFreeAddresses(['127.0.0.1']);
     if (address === undefined) throw new Error('no free address');
--- a/src/gateway/tests/request-hedger.test.ts
+++ b/src/gateway/tests/request-hedger.test.ts
@@ -11,7 +11,7 @@
   body: Buffer.from(''),
 };
 const NOT_RUN: AttemptOutcome = { kind: 'not-run', status: 503 };
-const LOST: AttemptOutcome = { kind: 'unknown', reason: 'reset', began: false };
+const OUTCOME_UNKNOWN: AttemptOutcome = { kind: 'unknown', reason: 'reset', began: false };
 
 async function settle(): Promise<void> {
   for (let round = 0; round < 8; round += 1) await Promise.resolve();
@@ -76,36 +76,36 @@
     startSecondAttempt.mockReturnValue(Promise.resolve(NOT_RUN));
     clock.advance(25);
     await settle();
-    endFirst(LOST);
-    expect(await result).toEqual({ outcome: LOST, attemptCount: 2 });
+    endFirst(OUTCOME_UNKNOWN);
+    expect(await result).toEqual({ outcome: OUTCOME_UNKNOWN, attemptCount: 2 });
   });
 });
 
 describe('the latency quantile of a route', () => {
   it('is undefined until 32 calls were answered', () => {
-    const times = new LatencyQuantiles(0.98);
-    for (let count = 0; count < 31; count += 1) times.record(ROUTE, 10);
-    expect(times.quantileOf(ROUTE)).toBeUndefined();
+    const quantiles = new LatencyQuantiles(0.98);
+    for (let count = 0; count < 31; count += 1) quantiles.record(ROUTE, 10);
+    expect(quantiles.quantileOf(ROUTE)).toBeUndefined();
   });
 
   it('reflects the latest 128 responses', () => {
-    const times = new LatencyQuantiles(0.98);
-    for (let count = 0; count < 128; count += 1) times.record(ROUTE, 10);
-    expect(times.quantileOf(ROUTE)).toBe(10);
-    for (let count = 0; count < 128; count += 1) times.record(ROUTE, 50);
-    expect(times.quantileOf(ROUTE)).toBe(50);
+    const quantiles = new LatencyQuantiles(0.98);
+    for (let count = 0; count < 128; count += 1) quantiles.record(ROUTE, 10);
+    expect(quantiles.quantileOf(ROUTE)).toBe(10);
+    for (let count = 0; count < 128; count += 1) quantiles.record(ROUTE, 50);
+    expect(quantiles.quantileOf(ROUTE)).toBe(50);
   });
 });
 
 describe('the budget of hedged requests', () => {
   it('limits 1000 late calls to the initial budget and 5% of the calls', () => {
     const budget = new HedgeBudget(0.05);
-    let taken = 0;
+    let hedged = 0;
     for (let count = 0; count < 1000; count += 1) {
       budget.recordCall();
-      if (budget.take()) taken += 1;
+      if (budget.tryConsume()) hedged += 1;
     }
-    expect(taken).toBeGreaterThan(50);
-    expect(taken).toBeLessThanOrEqual(61);
+    expect(hedged).toBeGreaterThan(50);
+    expect(hedged).toBeLessThanOrEqual(61);
   });
 });
--- a/src/gateway/tests/turn-handler.test.ts
+++ b/src/gateway/tests/turn-handler.test.ts
@@ -21,7 +21,7 @@
 
 const TABLE = { configuration: { limits: { bodyBytes: 1000 } } } as unknown as RouteTable;
 
-/** Handles one turn while no store answers; returns the refusal and the time given to the stores. */
+/** Handles one turn while no store answers; returns the refusal and the timeout of the stores. */
 async function refuseWithoutStores(reachesQuorum: boolean) {
   const clock = new ManualClock();
   const refusals: Refusal[] = [];
@@ -42,7 +42,7 @@
   } as unknown as TurnClient;
   const handler = new TurnHandler({
     forwarder: {} as unknown as Forwarder,
-    preparer: new TurnPreparer({ turns, watch: { reachesQuorum }, clock }),
+    preparer: new TurnPreparer({ turns, quorumMonitor: { reachesQuorum }, clock }),
     quotaGate: WITHOUT_QUOTAS,
     turns,
     chooser: { recordParts: () => undefined, loadOf: () => ({ load: 0, slots: 1 }) },
@@ -70,8 +70,8 @@
 });
 
 /**
- * Handles a turn while 20 requests are in flight for 10 slots; `taken`: tokens that its program has
- * used.
+ * Handles a turn while 20 requests are in flight for 10 slots; `committedTokens`: tokens that the
+ * program's other turns used or reserved.
  */
 async function handleInOverload(committedTokens: number, previousTurn?: string) {
   const clock = new ManualClock();
@@ -95,7 +95,7 @@
   } as unknown as TurnClient;
   const handler = new TurnHandler({
     forwarder: { forward } as unknown as Forwarder,
-    preparer: new TurnPreparer({ turns, watch: { reachesQuorum: true }, clock }),
+    preparer: new TurnPreparer({ turns, quorumMonitor: { reachesQuorum: true }, clock }),
     quotaGate: WITHOUT_QUOTAS,
     turns,
     chooser: { recordParts: () => undefined, loadOf: () => ({ load: 20, slots: 10 }) },
--- a/src/gateway/turn-handler.ts
+++ b/src/gateway/turn-handler.ts
@@ -175,8 +175,8 @@
     const engine = engineOf(table, lastPlacement);
     const tokens = output.count * (engine?.tokensPerEvent ?? 1);
     if (lastPlacement !== undefined) {
-      const memoryTokens = engine?.cacheTokens ?? Infinity;
-      chooser.recordParts(lastPlacement.state, exchange.head.parts, tokens, memoryTokens);
+      const cacheCapacityTokens = engine?.cacheTokens ?? Infinity;
+      chooser.recordParts(lastPlacement.state, exchange.head.parts, tokens, cacheCapacityTokens);
     }
     if (route.retentionSeconds === undefined) {
       preparer.settle(turn, tokens);
@@ -220,12 +220,12 @@
 } as const;
 
 /**
- * Whether a turn is the first of its program according to its headers. On routes that record turns, every
- * later turn names the previous one; on other routes this is unknown, and false.
+ * Whether a turn is the first of its program according to its headers. On routes that record turns,
+ * every later turn names the previous one; on other routes this is unknown, and false.
  */
 function startsProgram({ head }: Exchange, route: Route): boolean {
-  const isKept = route.retentionSeconds !== undefined;
-  return isKept && head.program !== undefined && head.previousTurn === undefined;
+  const recordsTurns = route.retentionSeconds !== undefined;
+  return recordsTurns && head.program !== undefined && head.previousTurn === undefined;
 }
 
 /** Concatenates the inputs and outputs of the chain, oldest first, and the new input. */
@@ -239,8 +239,8 @@
   const last = chain.at(-1);
   const placement = placementOf(exchange);
   if (last === undefined) return placement;
-  const heldTokens = Math.min(last.contextTokens, placement.promptTokens);
-  return { ...placement, lastTarget: last.target, cachedTokens: heldTokens };
+  const cachedTokens = Math.min(last.contextTokens, placement.promptTokens);
+  return { ...placement, lastTarget: last.target, cachedTokens };
 }
 
 function engineOf(
--- a/src/gateway/wire-format.ts
+++ b/src/gateway/wire-format.ts
@@ -25,7 +25,7 @@
 export interface ResponseHead {
   /** Id of the request that the response belongs to. */
   readonly requestId: string | undefined;
-  /** Whether the response carries a target's signature, which a response of another server lacks. */
+  /** Whether the response carries a target's signature, which responses of other servers lack. */
   readonly isSigned: boolean;
   /** Whether the target reports that it did not run the request. */
   readonly isNotRun: boolean;
@@ -37,7 +37,7 @@
 export interface TargetHeaders {
   /** Time until the deadline of the request. */
   readonly remainingMilliseconds: number;
-  /** Id of the target that the request is meant for; another server refuses it. */
+  /** Id of the target that the request is meant for; another server rejects it. */
   readonly target: string;
   /** 0 (highest) to 9; the target's default applies if undefined. */
   readonly priority: number | undefined;
@@ -54,6 +54,9 @@
   /** `rawHeaders` alternates names and values and includes repeated headers. */
   readRequest(headers: HeaderMap, rawHeaders: readonly string[]): RequestHead;
   readResponse(headers: HeaderMap): ResponseHead;
-  /** Returns alternating names and values: the caller's headers, except those that the gateway sets. */
+  /**
+   * Returns alternating names and values: those of the caller, except hop-by-hop headers and
+   * headers that the gateway sets, and those of `added`.
+   */
   buildTargetHeaders(rawHeaders: readonly string[], added: TargetHeaders): string[];
 }
--- a/src/nodes/gateway-node.ts
+++ b/src/nodes/gateway-node.ts
@@ -134,7 +134,7 @@
   const forwarder = new Forwarder({
     targets,
     chooser,
-    placers: createPlacementPolicies(switches),
+    placementPolicies: createPlacementPolicies(switches),
     sender: new Sender({
       ...{ wire: platform.wire, connections, durations, switches, clock, metrics },
     }),
@@ -158,7 +158,7 @@
     metrics,
   };
   const turns = new TurnClient(turnClientOptions);
-  const preparer = new TurnPreparer({ turns, watch: quorumMonitor, clock });
+  const preparer = new TurnPreparer({ turns, quorumMonitor, clock });
   const turnHandler = new TurnHandler({
     ...{ forwarder, preparer, quotaGate, turns, chooser, switches, clock, random, metrics },
   });
--- a/src/nodes/node-context.ts
+++ b/src/nodes/node-context.ts
@@ -41,7 +41,7 @@
 export interface NodeContextOptions {
   readonly kind: NodeKind;
   readonly settings: NodeSettings;
-  /** The settings after the last reload, which may name other seeds than `settings`. */
+  /** The settings after the last reload, which may contain other seeds than `settings`. */
   readonly currentSettings: () => NodeSettings;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/nodes/node-settings.ts
+++ b/src/nodes/node-settings.ts
@@ -3,7 +3,7 @@
 import { decisionSwitchesSchema } from '../decisions';
 
 const addressTextSchema = z.string().refine((text) => addressSchema.safeParse(text).success, {
-  error: 'not an IP number with a port; write it like 10.0.0.7:8080',
+  error: 'not an IP address with a port; write it like 10.0.0.7:8080',
 });
 
 /** Settings of a gateway or store process. */
@@ -39,8 +39,8 @@
   teams: z
     .strictObject({
       /**
-       * Maximum time from the acknowledgement of a key's removal until no process runs a request with
-       * that key; if absent, a removal takes as long as any other configuration change.
+       * Maximum time from the acknowledgement of a key's removal until no process runs a request
+       * with that key; if absent, a removal takes as long as any other configuration change.
        */
       'key-removal-milliseconds': z.number().positive().optional(),
     })
--- a/src/nodes/pause-monitor.ts
+++ b/src/nodes/pause-monitor.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Logs pauses of this process, such as a suspended host or missing processor time. Other processes
- * can't tell them from a network partition.
+ * Logs pauses of this process, such as a suspended host or CPU starvation. Other processes cannot
+ * distinguish them from a network partition.
  */
 export class PauseMonitor implements Component {
   readonly #options: PauseMonitorOptions;
--- a/src/nodes/reloadable-settings.ts
+++ b/src/nodes/reloadable-settings.ts
@@ -13,7 +13,7 @@
 
 /**
  * The current settings, reloaded on request and when the file's modification time changes. An
- * invalid file is logged and leaves the previous settings in place. Requests in flight are not
+ * invalid file is logged, and the previous settings stay active. Requests in flight are not
  * affected.
  */
 export class ReloadableSettings implements Component {
--- a/src/nodes/run.ts
+++ b/src/nodes/run.ts
@@ -11,7 +11,7 @@
 import type { NodeContext, NodeContextOptions } from './node-context';
 import { ReloadableSettings } from './reloadable-settings';
 
-/** Time between an unrecoverable failure and the exit, for error answers to requests in flight. */
+/** Delay of the exit after an unrecoverable failure; requests in flight get error responses. */
 const FAILURE_EXIT_DELAY_MILLISECONDS = 300;
 
 const EXIT_CODES = { stopped: 0, failed: 1, invalid: 2 } as const;
--- a/src/nodes/team-access-control.ts
+++ b/src/nodes/team-access-control.ts
@@ -32,7 +32,7 @@
   });
   const quotas = new QuotaClient({
     run: self.run,
-    ask: (report) => client.requestQuotas(report),
+    sendReport: (report) => client.requestQuotas(report),
     clock,
     logger,
   });
--- a/src/quotas/allocator.ts
+++ b/src/quotas/allocator.ts
@@ -17,8 +17,9 @@
 }
 
 /**
- * Leases the quotas of all teams to the gateways; runs on the leader of the cluster state. The buckets are
- * discarded when the term changes, since other leaders may have granted leases in between.
+ * Leases the quotas of all teams to the gateways; runs on the leader of the cluster state. The
+ * buckets are discarded when the term changes, since other leaders may have granted leases in
+ * between.
  */
 export class QuotaAllocator {
   readonly #options: QuotaAllocatorOptions;
--- a/src/quotas/bucket.ts
+++ b/src/quotas/bucket.ts
@@ -19,10 +19,10 @@
 }
 
 /**
- * One team's quota at the allocator: a token bucket in which leased tokens occupy capacity until they are
- * reported as spent or expire. All gateways together admit at most the refill of any period plus one
- * bucket, even if gateways are partitioned, killed or report late. Performs no I/O; all times are
- * monotonic milliseconds.
+ * One team's quota at the allocator: a token bucket in which leased tokens occupy capacity until
+ * they are reported as spent or expire. All gateways together admit at most the refill of any
+ * period plus one bucket, even if gateways are partitioned, killed or report late. Performs no I/O;
+ * all times are monotonic milliseconds.
  */
 export class QuotaBucket {
   #quota: Quota;
@@ -31,12 +31,12 @@
   readonly #leases = new Map<string, Lease>();
   /** Refused first turns for which no tokens have been refilled since. */
   #refusedStarts = 0;
-  /** Until then leases of the former leader, which this one does not know, may still be spent. */
+  /** Until this time tokens that the former leader leased, unknown to this one, may be spent. */
   readonly #formerLeasesExpireAt: number;
 
   /**
-   * The bucket starts empty at `allocatorSince`, the start of this process's leadership, since the former
-   * leader may have leased all tokens just before.
+   * The bucket starts empty at `allocatorSince`, the start of this process's leadership, since the
+   * former leader may have leased all tokens just before.
    */
   constructor(quota: Quota, allocatorSince: number) {
     this.#quota = quota;
@@ -67,7 +67,7 @@
     this.#level = Math.max(0, Math.min(this.#level, this.#capacity - this.leased));
   }
 
-  /** Processes a gateway's demand and replaces its lease; `run` identifies the gateway's process. */
+  /** Replaces the lease of a gateway according to its demand; `run` identifies its process. */
   lease(run: string, demand: QuotaDemand, now: number): QuotaGrant {
     this.#refill(now);
     this.#reconcileLease(run, demand);
@@ -101,7 +101,7 @@
     this.#level += Math.max(0, lease.tokens - spentSince - held);
   }
 
-  /** Leases occupy capacity until they expire, so the refill is computed piecewise at each expiry. */
+  /** Computes the refill piecewise at each expiry, since leases occupy capacity until then. */
   #refill(now: number): void {
     const expired = [...this.#leases].filter(([, { expiresAt }]) => expiresAt < now);
     expired.sort(([, left], [, right]) => left.expiresAt - right.expiresAt);
@@ -123,12 +123,12 @@
   }
 
   #withdraw(wanted: number, available: number): number {
-    const taken = Math.max(0, Math.min(Math.floor(wanted), Math.floor(available)));
-    this.#level -= taken;
-    return taken;
+    const withdrawn = Math.max(0, Math.min(Math.floor(wanted), Math.floor(available)));
+    this.#level -= withdrawn;
+    return withdrawn;
   }
 
-  /** Spreads the retries of refused callers over the refill time of those before them. */
+  /** Adds the refill time of earlier refused first turns, which spreads the retries. */
   #retryAfterSeconds(): number {
     const missingTokens = 1 - this.#level + this.#refusedStarts;
     const seconds = missingTokens / Math.max(this.#quota.requestsPerSecond, Number.MIN_VALUE);
--- a/src/quotas/client.ts
+++ b/src/quotas/client.ts
@@ -22,8 +22,8 @@
 export interface QuotaClientOptions {
   /** Id of this process, different after each restart. */
   readonly run: string;
-  /** Sends a report to the current leader; rejects if it is not reached. */
-  readonly ask: (report: QuotaReport) => Promise<QuotaGrants>;
+  /** Sends a report to the current leader; rejects if the leader is unreachable. */
+  readonly sendReport: (report: QuotaReport) => Promise<QuotaGrants>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -34,8 +34,8 @@
 }
 
 /**
- * Admits requests within their teams' quotas, of which the leader leases parts to each gateway. One report
- * covers all teams, and only one report is in flight at a time.
+ * Admits requests within their teams' quotas, of which the leader leases parts to each gateway. One
+ * report covers all teams, and only one report is in flight at a time.
  */
 export class QuotaClient implements Component {
   readonly #options: QuotaClientOptions;
@@ -62,8 +62,9 @@
   }
 
   /**
-   * Admits or refuses a request of a team. First turns of programs wait for one answer of the leader, other
-   * requests up to `ADMISSION_TIMEOUT_MILLISECONDS`; neither waits beyond `deadline` (monotonic milliseconds).
+   * Admits or refuses a request of a team. First turns of programs wait for one answer of the
+   * leader, other requests up to `ADMISSION_TIMEOUT_MILLISECONDS`; neither waits beyond `deadline`
+   * (monotonic milliseconds).
    */
   admit(team: Team, isStart: boolean, deadline: number): Promise<ShareOutcome> {
     if (team.quota === undefined) return Promise.resolve({ kind: 'granted' });
@@ -135,12 +136,12 @@
     return demands;
   }
 
-  async #requestGrants(demands: readonly QuotaDemand[], askedAt: number): Promise<void> {
-    const { ask, run, clock, logger } = this.#options;
+  async #requestGrants(demands: readonly QuotaDemand[], reportSentAt: number): Promise<void> {
+    const { sendReport, run, clock, logger } = this.#options;
     this.#isRequesting = true;
     try {
-      const { grants, validMilliseconds, term } = await ask({ run, demands });
-      const context = { askedAt, validMilliseconds, term };
+      const { grants, validMilliseconds, term } = await sendReport({ run, demands });
+      const context = { reportSentAt, validMilliseconds, term };
       demands.forEach((demand, index) => {
         const grant = grants[index];
         const share = this.#shares.get(demand.team)?.share;
--- a/src/quotas/share.ts
+++ b/src/quotas/share.ts
@@ -7,8 +7,8 @@
 const HALF_LIFE_MILLISECONDS = 1000;
 
 /**
- * Below this average rate a gateway keeps no stock, since unused leases are missing at other
- * gateways.
+ * Below this average rate a gateway keeps no stock, since other gateways cannot use the tokens of
+ * its unused leases.
  */
 const MINIMUM_STOCK_REQUESTS_PER_SECOND = 0.5;
 
@@ -22,7 +22,7 @@
       /** Term of the leader that answered. */
       readonly term: number;
     }
-  /** The allocator was not reached in time. */
+  /** The allocator did not answer in time. */
   | { readonly kind: 'unknown' };
 
 /** A request that waits for a lease. */
@@ -38,12 +38,12 @@
 /** Values that all grants of an answer share. */
 export interface AnswerContext extends Pick<QuotaGrants, 'term' | 'validMilliseconds'> {
   /** Monotonic time at which the report was sent; milliseconds. */
-  readonly askedAt: number;
+  readonly reportSentAt: number;
 }
 
 /**
- * One gateway's share of one team's quota: its leased and pending requests and the changes to report to the
- * allocator. Performs no I/O; all times are monotonic milliseconds.
+ * One gateway's share of one team's quota: its leased and pending requests and the changes to
+ * report to the allocator. Performs no I/O; all times are monotonic milliseconds.
  */
 export class QuotaShare {
   readonly #team: string;
@@ -55,8 +55,8 @@
   #decayedSum = 0;
   #decayedAt = 0;
   #lastAnswer = { retryAfterSeconds: 0, left: 0, term: 0 };
-  /** Time at which the report was sent that was answered last. */
-  #lastAnswerAskedAt = -Infinity;
+  /** Time at which the last answered report was sent. */
+  #lastAnsweredReportSentAt = -Infinity;
   #reported = { spent: 0, held: 0 };
 
   constructor(team: string) {
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Admits a request from the stock; returns false if none is left or other requests are pending. Not for
-   * first turns, which always need a grant.
+   * Admits a request from the stock; returns false if none is left or other requests are pending.
+   * Not for first turns, which always need a grant.
    */
   takeFromStock(now: number): boolean {
     if (this.heldAt(now) < 1 || this.pendingCount > 0) return false;
@@ -97,8 +97,9 @@
   }
 
   /**
-   * Returns an admitted request that did not run to the stock. Has no effect once the request was reported,
-   * since the allocator may have leased its token to another gateway, or after the lease has expired.
+   * Adds the token of an admitted request that did not run to the stock again. Has no effect once
+   * the request was reported, since the allocator may have leased its token to another gateway, or
+   * after the lease has expired.
    */
   refund(now: number): void {
     if (now > this.#heldUntil || this.#spent <= this.#reported.spent) return;
@@ -120,14 +121,14 @@
   }
 
   /**
-   * Applies the answer to `demand`. First turns that were in `demand` and got no lease are refused at once;
-   * other requests stay pending.
+   * Applies the answer to `demand`. First turns that were in `demand` and got no lease are refused
+   * at once; other requests stay pending.
    */
   applyGrant(demand: QuotaDemand, grant: QuotaGrant, context: AnswerContext): void {
-    const { askedAt, validMilliseconds, term } = context;
-    this.#held = this.heldAt(askedAt) + grant.stock;
-    this.#heldUntil = askedAt + validMilliseconds;
-    this.#lastAnswerAskedAt = askedAt;
+    const { reportSentAt, validMilliseconds, term } = context;
+    this.#held = this.heldAt(reportSentAt) + grant.stock;
+    this.#heldUntil = reportSentAt + validMilliseconds;
+    this.#lastAnsweredReportSentAt = reportSentAt;
     this.#reported = { spent: demand.spent, held: demand.held + grant.stock };
     const { retryAfterSeconds, left } = grant;
     this.#lastAnswer = { retryAfterSeconds, left, term };
@@ -141,7 +142,7 @@
         request.resolve(this.#refusalOutcome(request));
         return false;
       } else return true;
-      this.#countAdmitted(askedAt);
+      this.#countAdmitted(reportSentAt);
       request.resolve({ kind: 'granted' });
       return false;
     });
@@ -158,7 +159,7 @@
   }
 
   #refusalOutcome({ arrivedAt }: PendingRequest): ShareOutcome {
-    if (this.#lastAnswerAskedAt < arrivedAt) return { kind: 'unknown' };
+    if (this.#lastAnsweredReportSentAt < arrivedAt) return { kind: 'unknown' };
     return { kind: 'spent', ...this.#lastAnswer };
   }
 
--- a/src/quotas/tests/bucket.test.ts
+++ b/src/quotas/tests/bucket.test.ts
@@ -15,9 +15,9 @@
 /** Time after which an empty bucket is full and leases of a former leader have expired. */
 const FULL_MILLISECONDS = 10_000;
 
-function demand(facts: Partial<QuotaDemand> = {}): QuotaDemand {
+function demand(overrides: Partial<QuotaDemand> = {}): QuotaDemand {
   const none = { spent: 0, held: 0, waitingStarts: 0, waitingOthers: 0, stock: 0 };
-  return { team: 'red', ...none, ...facts };
+  return { team: 'red', ...none, ...overrides };
 }
 
 describe('QuotaBucket', () => {
@@ -119,7 +119,7 @@
 });
 
 describe('QuotaShare', () => {
-  const FACTS = { term: 1, validMilliseconds: 2000 };
+  const ANSWER_CONTEXT = { term: 1, validMilliseconds: 2000 };
   const GRANT: QuotaGrant = {
     team: 'red',
     starts: 0,
@@ -131,7 +131,11 @@
 
   it('can be spent until the lease expires, counted from the sending of the report', () => {
     const share = new QuotaShare('red');
-    share.applyGrant(share.demandAt(100), { ...GRANT, stock: 3 }, { ...FACTS, askedAt: 100 });
+    share.applyGrant(
+      share.demandAt(100),
+      { ...GRANT, stock: 3 },
+      { ...ANSWER_CONTEXT, reportSentAt: 100 },
+    );
     expect(share.takeFromStock(2100)).toBe(true);
     expect(share.takeFromStock(2101)).toBe(false);
     expect(share.demandAt(2101)).toMatchObject({ spent: 1, held: 0 });
@@ -139,12 +143,16 @@
 
   it('refunds a request that did not run, unless it was reported already', () => {
     const share = new QuotaShare('red');
-    share.applyGrant(share.demandAt(0), { ...GRANT, stock: 3 }, { ...FACTS, askedAt: 0 });
+    share.applyGrant(
+      share.demandAt(0),
+      { ...GRANT, stock: 3 },
+      { ...ANSWER_CONTEXT, reportSentAt: 0 },
+    );
     share.takeFromStock(10);
     share.refund(20);
     expect(share.demandAt(20)).toMatchObject({ spent: 0, held: 3 });
     share.takeFromStock(30);
-    share.applyGrant(share.demandAt(40), GRANT, { ...FACTS, askedAt: 40 });
+    share.applyGrant(share.demandAt(40), GRANT, { ...ANSWER_CONTEXT, reportSentAt: 40 });
     share.refund(50);
     expect(share.demandAt(50)).toMatchObject({ spent: 1, held: 2 });
   });
@@ -152,15 +160,15 @@
   it('refuses first turns on the answer, and other requests at their deadline', () => {
     const share = new QuotaShare('red');
     const outcomes: string[] = [];
-    const wait = (name: string, isStart: boolean, since: number) => {
+    const enqueue = (name: string, isStart: boolean, since: number) => {
       const resolve = ({ kind }: { readonly kind: string }) => outcomes.push(`${name} ${kind}`);
       share.enqueue({ isStart, arrivedAt: since, deadline: since + 1000, resolve });
     };
-    wait('start', true, 0);
-    wait('other', false, 0);
-    const asked = share.demandAt(1);
-    wait('later start', true, 2);
-    share.applyGrant(asked, GRANT, { ...FACTS, askedAt: 1 });
+    enqueue('start', true, 0);
+    enqueue('other', false, 0);
+    const reported = share.demandAt(1);
+    enqueue('later start', true, 2);
+    share.applyGrant(reported, GRANT, { ...ANSWER_CONTEXT, reportSentAt: 1 });
     expect(outcomes).toEqual(['start spent']);
     share.refuseExpired(999);
     expect(outcomes).toEqual(['start spent']);
--- a/src/quotas/tests/quota-cluster.ts
+++ b/src/quotas/tests/quota-cluster.ts
@@ -122,10 +122,10 @@
     if (gateway.run > 0) gateway.client.stop();
     gateway.run += 1;
     const run = `${index}/${gateway.run}`;
-    const ask = (report: QuotaReport) => this.#requestGrants(gateway, report);
+    const sendReport = (report: QuotaReport) => this.#requestGrants(gateway, report);
     gateway.client = new QuotaClient({
       run,
-      ask,
+      sendReport,
       clock: gateway.clock,
       logger: createSilentLogger(),
     });
@@ -180,24 +180,24 @@
     for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
       act();
       this.clock.advance(STEP_MILLISECONDS);
-      for (let turn = 0; turn < 4; turn += 1) await Promise.resolve();
+      for (let round = 0; round < 4; round += 1) await Promise.resolve();
     }
     await new Promise((resolve) => setImmediate(resolve));
   }
 
   /** Maximum number of admitted requests of a team in any window of `milliseconds`. */
-  mostAdmitted(team: string, milliseconds: number): number {
+  maximumAdmitted(team: string, milliseconds: number): number {
     const times = this.requests
       .filter((request) => request.team === team && request.outcome === 'granted')
       .map(({ endedAt }) => endedAt)
       .sort((left, right) => left - right);
-    let most = 0;
+    let maximum = 0;
     let first = 0;
     times.forEach((time, index) => {
       while ((times[first] ?? time) <= time - milliseconds) first += 1;
-      most = Math.max(most, index - first + 1);
+      maximum = Math.max(maximum, index - first + 1);
     });
-    return most;
+    return maximum;
   }
 
   #startTerm(): void {
--- a/src/quotas/tests/quotas.test.ts
+++ b/src/quotas/tests/quotas.test.ts
@@ -5,7 +5,7 @@
 const WINDOW_MILLISECONDS = 5000;
 
 /** Maximum number of requests that a quota allows in a window. */
-function mostAllowed({ requestsPerSecond, burst }: Quota): number {
+function maximumAllowed({ requestsPerSecond, burst }: Quota): number {
   return (requestsPerSecond * WINDOW_MILLISECONDS) / 1000 + Math.max(burst, 1);
 }
 
@@ -96,9 +96,9 @@
       await cluster.advance(3000);
       await cluster.advance(12_000, createArrivals(cluster, 'team', 100, 0.1));
       await cluster.advance(1500);
-      const most = cluster.mostAdmitted('team', WINDOW_MILLISECONDS);
-      expect(most).toBeLessThanOrEqual(mostAllowed(quota));
-      expect(most).toBeGreaterThan(0.9 * quota.requestsPerSecond * 5);
+      const maximum = cluster.maximumAdmitted('team', WINDOW_MILLISECONDS);
+      expect(maximum).toBeLessThanOrEqual(maximumAllowed(quota));
+      expect(maximum).toBeGreaterThan(0.9 * quota.requestsPerSecond * 5);
     }, 60_000);
   });
 
@@ -148,9 +148,9 @@
       await cluster.advance(8000, act);
       await cluster.advance(1500);
       cluster.requests.splice(0, before);
-      const most = cluster.mostAdmitted('team', WINDOW_MILLISECONDS);
-      expect(most).toBeLessThanOrEqual(mostAllowed(lower));
-      expect(most).toBeGreaterThan(0.8 * 50);
+      const maximum = cluster.maximumAdmitted('team', WINDOW_MILLISECONDS);
+      expect(maximum).toBeLessThanOrEqual(maximumAllowed(lower));
+      expect(maximum).toBeGreaterThan(0.8 * 50);
     }, 60_000);
   });
 
@@ -182,8 +182,8 @@
             else cluster.startElection();
           }
           await cluster.advance(2000, act);
-          const most = cluster.mostAdmitted('team', WINDOW_MILLISECONDS);
-          expect(most).toBeLessThanOrEqual(mostAllowed(quota) * 1.1 + 20);
+          const maximum = cluster.maximumAdmitted('team', WINDOW_MILLISECONDS);
+          expect(maximum).toBeLessThanOrEqual(maximumAllowed(quota) * 1.1 + 20);
         },
       );
       await fc.assert(property, { numRuns: 40, seed: 1 });
--- a/src/routes/configuration.ts
+++ b/src/routes/configuration.ts
@@ -6,7 +6,7 @@
   | 'repeatable'
   /** Runs at most once per request of a caller. */
   | 'once'
-  /** Answers with a stream of events; runs at most once unless the route is resumable. */
+  /** Responds with a stream of events; runs at most once unless the route is resumable. */
   | 'stream';
 
 /** A service's share of a route's requests is its weight divided by the sum of the weights. */
@@ -24,7 +24,7 @@
   readonly kind: RequestKind;
   /** Deadline of a request, counted from its arrival. */
   readonly timeoutMilliseconds: number;
-  /** Objective for the time until an answer begins. */
+  /** Objective for the time from arrival until the response begins. */
   readonly targetLatencyMilliseconds: number;
   /** 0 is the highest priority. */
   readonly priority: number;
--- a/src/routing/policy.ts
+++ b/src/routing/policy.ts
@@ -1,6 +1,6 @@
 import type { Load } from '../protocol';
 
-/** A target for a call, as one entry process currently knows it. */
+/** State of a target as known to one entry process. */
 export interface Candidate {
   readonly target: string;
   readonly load: Load;
--- a/src/targets/chooser.ts
+++ b/src/targets/chooser.ts
@@ -56,7 +56,7 @@
   /** Returns undefined if no target is available. */
   choose(request: ChoiceRequest): Placement | undefined {
     const { availabilityZone, clock, random, targets } = this.#options;
-    const { parts, promptTokens, lastTarget, cachedTokens: heldTokens } = request.placement;
+    const { parts, promptTokens, lastTarget, cachedTokens } = request.placement;
     const now = clock.monotonic();
     const candidates: PlacementCandidate[] = [];
     for (const state of this.#candidates(request)) candidates.push(state.candidateAt(now, parts));
@@ -65,7 +65,7 @@
         availabilityZone,
         promptTokens,
         lastTarget,
-        lastTargetCachedTokens: heldTokens,
+        lastTargetCachedTokens: cachedTokens,
         candidates,
       },
       random,
--- a/src/targets/connection-pool.ts
+++ b/src/targets/connection-pool.ts
@@ -40,7 +40,7 @@
   }
 
   /** Returns the most recently used idle connection, or opens one. */
-  take({ target }: TargetState): TargetConnection {
+  acquire({ target }: TargetState): TargetConnection {
     const key = `${target.id} ${target.address}`;
     const client = this.#idle.get(key)?.pop() ?? this.#open(key, target.address);
     let isReturned = false;
--- a/src/targets/coordinator.ts
+++ b/src/targets/coordinator.ts
@@ -11,9 +11,9 @@
 
 /**
  * Selects the gateway that coordinates the others: the first by name of the connected ones that
- * keep the cluster state, since every process connects to these. This is no leader election:
- * gateways with different connections may select different coordinators, so correctness must not
- * depend on it.
+ * have a replica of the cluster state, since every process connects to these. This is no leader
+ * election: gateways with different connections may select different coordinators, so correctness
+ * must not depend on it.
  */
 export function selectCoordinator(options: CoordinatorOptions): NodeInfo {
   const { self, directory, peers, excluded } = options;
--- a/src/targets/load-exchange.ts
+++ b/src/targets/load-exchange.ts
@@ -21,8 +21,11 @@
 /** Time after which a received report expires. */
 const REPORT_VALIDITY_MILLISECONDS = 1500;
 
-/** Silence after which a coordinator is excluded, and the duration of the exclusion. */
-const COORDINATOR_TIMEOUT = { silenceMilliseconds: 600, exclusionMilliseconds: 2000 } as const;
+/** Time without a report after which a coordinator is excluded, and duration of the exclusion. */
+const COORDINATOR_TIMEOUT = {
+  withoutReportMilliseconds: 600,
+  exclusionMilliseconds: 2000,
+} as const;
 
 /** Requests in flight, by target id. */
 export type Loads = readonly (readonly [target: string, requests: number])[];
@@ -135,7 +138,7 @@
   #selectCoordinator(): NodeInfo {
     const { clock, logger } = this.#options;
     const now = clock.monotonic();
-    this.#excludeSilentCoordinator(now);
+    this.#excludeUnresponsiveCoordinator(now);
     const excluded = new Set<string>();
     for (const [name, until] of this.#excludedUntil) if (until > now) excluded.add(name);
     const coordinator = selectCoordinator({ ...this.#options, excluded });
@@ -149,11 +152,11 @@
   }
 
   /** Excludes a coordinator that sends nothing: a suspended process keeps its connections open. */
-  #excludeSilentCoordinator(now: number): void {
+  #excludeUnresponsiveCoordinator(now: number): void {
     const { self } = this.#options;
     if (this.#coordinator === undefined || this.#coordinator === self.name) return;
     const lastReceivedAt = Math.max(this.#otherLoads.receivedAt, this.#coordinatorSince);
-    if (now - lastReceivedAt < COORDINATOR_TIMEOUT.silenceMilliseconds) return;
+    if (now - lastReceivedAt < COORDINATOR_TIMEOUT.withoutReportMilliseconds) return;
     this.#excludedUntil.set(this.#coordinator, now + COORDINATOR_TIMEOUT.exclusionMilliseconds);
   }
 
--- a/src/targets/tests/load-exchange.test.ts
+++ b/src/targets/tests/load-exchange.test.ts
@@ -114,7 +114,7 @@
     expect(group.loadFromOthers('d')).toBe(5);
   });
 
-  it('expires the loads of a silent gateway', () => {
+  it('expires the loads of a gateway that sends no reports', () => {
     group.suspended.add('d');
     group.clock.advance(2000);
     expect(group.loadFromOthers('b')).toBe(4);
--- a/src/targets/tests/shared-source.test.ts
+++ b/src/targets/tests/shared-source.test.ts
@@ -14,7 +14,7 @@
   draining: false,
 };
 
-/** Gateways whose names begin with k keep the cluster state. */
+/** Gateways whose names begin with k have a replica of the cluster state. */
 function gateway(name: string): NodeInfo {
   return {
     name,
@@ -27,13 +27,13 @@
   };
 }
 
-/** Gateways that share a clock and a platform list and know each other. */
+/** Gateways that share a clock and a platform list, each in the directories of the others. */
 class Gateways {
   readonly clock = new ManualClock();
   /** Names of the gateways that read the platform's list, in order. */
   readonly reads: string[] = [];
   /** Gateways that do not answer calls. */
-  readonly silent = new Set<string>();
+  readonly unresponsive = new Set<string>();
   /** Gateways that nobody is connected to. */
   readonly disconnected = new Set<string>();
   list: readonly ListedTarget[] = [LISTED];
@@ -85,7 +85,7 @@
       isConnected: (address) => !this.disconnected.has(address),
       call: (address, name, request) => {
         const handler = this.source(address).calls[name];
-        if (this.silent.has(address) || handler === undefined) {
+        if (this.unresponsive.has(address) || handler === undefined) {
           return Promise.reject(new Error(`${address} does not answer`));
         }
         const answer = handler(request) as TargetListAnswer;
@@ -150,7 +150,7 @@
 
   it('is read by a gateway itself when the first does not answer', async () => {
     const gateways = new Gateways(['k1', 'k2']);
-    gateways.silent.add('k1');
+    gateways.unresponsive.add('k1');
     expect(await gateways.source('k2').list()).toEqual([LISTED]);
     expect(gateways.reads).toEqual(['k2']);
   });
@@ -170,7 +170,7 @@
     gateways.clock.advance(800);
     gateways.refreshDirectories();
     await gateways.source('k2').list();
-    gateways.silent.add('k1');
+    gateways.unresponsive.add('k1');
     gateways.clock.advance(800);
     const answer = await gateways.source('k2').calls['targets.list']?.({ digest: '' });
     expect(answer).toMatchObject({ kind: 'list', ageMilliseconds: 1600 });
@@ -183,7 +183,7 @@
     expect(gateways.reads).toEqual(['k2']);
   });
 
-  it('is not read by a gateway that does not keep the cluster state', async () => {
+  it('is not read by a gateway without a replica of the cluster state', async () => {
     const gateways = new Gateways(['g0', 'k1']);
     await gateways.source('k1').list();
     await gateways.source('g0').list();
@@ -192,7 +192,7 @@
 
   it('is read within the shared rate limit while each gateway reads for itself', async () => {
     const gateways = new Gateways(['k1', 'k2', 'g3'], 5);
-    gateways.silent.add('k1');
+    gateways.unresponsive.add('k1');
     await gateways.source('k2').list();
     gateways.clock.advance(900);
     gateways.refreshDirectories();
--- a/src/teams/identity.ts
+++ b/src/teams/identity.ts
@@ -18,8 +18,8 @@
   | { readonly kind: 'unknown-key' };
 
 /**
- * A configuration without teams accepts every caller. An empty list of teams accepts callers on public
- * routes only.
+ * A configuration without teams accepts every caller. An empty list of teams accepts callers on
+ * public routes only.
  */
 export function identify(teams: TeamDirectory | undefined, credentials: Credentials): Identity {
   if (teams === undefined) return { kind: 'anyone' };
--- a/src/teams/shared-keys.ts
+++ b/src/teams/shared-keys.ts
@@ -15,7 +15,7 @@
       const owner = owners.get(digest) ?? name;
       owners.set(digest, owner);
       if (owner === name) return [];
-      const message = `is a key of team "${owner}" too; take it away from one of them`;
+      const message = `is a key of team "${owner}" too; remove it from one of them`;
       return [{ code: 'shared_key', path: [...path, index], message }];
     }),
   );
--- a/src/teams/team.ts
+++ b/src/teams/team.ts
@@ -24,9 +24,9 @@
 }
 
 /**
- * Prefixes a caller's id with its team, so that callers cannot read or continue turns of other teams or
- * spend their budgets. The last line feed separates team and id, since ids come from headers, which contain
- * none. Without a team the id is unchanged.
+ * Prefixes a caller's id with its team, so that callers cannot read or continue turns of other
+ * teams or spend their budgets. The last line feed separates team and id, since ids come from
+ * headers, which contain none. Without a team the id is unchanged.
  */
 export function teamScopedId(team: Pick<Team, 'name'> | undefined, id: string): string {
   return team === undefined ? id : `${team.name}\n${id}`;
--- a/src/teams/tests/teams.test.ts
+++ b/src/teams/tests/teams.test.ts
@@ -30,12 +30,12 @@
   });
 
   describe('missing from the configuration', () => {
-    it('leave every caller accepted, with and without a key', () => {
+    it('accept every caller, with and without a key', () => {
       expect(identify(undefined, { key: 'r1', ...closed })).toEqual({ kind: 'anyone' });
       expect(identify(undefined, { key: undefined, ...closed })).toEqual({ kind: 'anyone' });
     });
 
-    it('leave no caller accepted if the configuration has an empty list', () => {
+    it('accept no caller if the configuration has an empty list', () => {
       const none = new TeamDirectory([]);
       expect(identify(none, { key: 'r1', ...closed })).toEqual({ kind: 'unknown-key' });
     });
--- a/src/turns/backfill.ts
+++ b/src/turns/backfill.ts
@@ -6,7 +6,7 @@
 
 const PAGE_TIMEOUT_MILLISECONDS = 1000;
 
-/** Delay before members that did not serve a complete pull are asked again. */
+/** Delay before members that did not serve a complete pull are queried again. */
 const RETRY_DELAY_MILLISECONDS = 150;
 
 const PULL_SESSION_ID_BYTES = 8;
@@ -80,12 +80,12 @@
   /** Resolves with whether the member was complete and all its rows were stored. */
   async #pullFrom(view: StoreView, member: ViewMember): Promise<boolean> {
     const { peers, journal, random, logger } = this.#options;
-    const filling = random.hex(PULL_SESSION_ID_BYTES);
+    const sessionId = random.hex(PULL_SESSION_ID_BYTES);
     let offset = 0;
-    let held = storedTurnIds(journal);
+    let heldTurnIds = storedTurnIds(journal);
     try {
       while (this.#isCurrent(view)) {
-        const request = { epoch: view.epoch, filling, offset, held };
+        const request = { epoch: view.epoch, filling: sessionId, offset, held: heldTurnIds };
         const answer = await peers.call(
           member.address,
           'turns.pull',
@@ -99,7 +99,7 @@
         await this.#append(answer);
         if (answer.final) return true;
         offset += answer.rows.length;
-        held = [];
+        heldTurnIds = [];
       }
     } catch (error) {
       logger.info({ event: 'filling-put-off', from: member.name, error: messageOf(error) });
@@ -113,11 +113,11 @@
 }
 
 function storedTurnIds(journal: TurnJournal): string[] {
-  const held: string[] = [];
+  const ids: string[] = [];
   for (const row of journal.table.rows()) {
-    if (row.kind === 'turn') held.push(row.record.id);
+    if (row.kind === 'turn') ids.push(row.record.id);
   }
-  return held;
+  return ids;
 }
 
 function otherMembersNearestFirst(view: StoreView, self: ViewMember): readonly ViewMember[] {
--- a/src/turns/client.ts
+++ b/src/turns/client.ts
@@ -20,7 +20,7 @@
 /** Timeout of one call to a store. */
 const CALL_TIMEOUT_MILLISECONDS = 500;
 
-/** Time for which the remaining stores are awaited after a quorum has answered. */
+/** Maximum wait for the remaining stores after a quorum has answered. */
 const STRAGGLER_WAIT_MILLISECONDS = 12;
 
 /** Delay before a hedged query is sent to further stores. */
@@ -56,17 +56,17 @@
 /** Reads and writes turns and budgets at a quorum of the current view's stores. */
 export class TurnClient {
   readonly #options: TurnClientOptions;
-  /** Stores that missed their last call's deadline; no round waits for them after its quorum. */
+  /** Stores whose last call failed or was late; no round waits for them after its quorum. */
   readonly #unresponsive = new Set<string>();
   readonly #quorumMissedLog: RateLimitedLogLine;
 
   constructor(options: TurnClientOptions) {
     this.#options = options;
     const { clock, logger } = options;
-    const milliseconds = QUORUM_MISSED_LOG_INTERVAL_MILLISECONDS;
+    const intervalMilliseconds = QUORUM_MISSED_LOG_INTERVAL_MILLISECONDS;
     this.#quorumMissedLog = new RateLimitedLogLine({
       event: 'quorum-missed',
-      intervalMilliseconds: milliseconds,
+      intervalMilliseconds,
       clock,
       logger,
     });
@@ -100,13 +100,13 @@
    * other.
    */
   async #writeReservation(options: ReserveOptions): Promise<readonly ReservationsAnswer[]> {
-    const { program, turn, maxTokens: most, deadline } = options;
+    const { program, turn, maxTokens, deadline } = options;
     const first = await this.#queryQuorum<ReservationsAnswer>({
       deadline,
       stragglerWaitMilliseconds: STRAGGLER_WAIT_MILLISECONDS,
       isCounted: () => true,
       query: (view, { address }) =>
-        this.#call(address, 'turns.reserve', { epoch: view.epoch, program, turn, most }),
+        this.#call(address, 'turns.reserve', { epoch: view.epoch, program, turn, most: maxTokens }),
     });
     const isUnanimous = first.allAnswered && first.answers.every((answer) => answer.complete);
     if (isUnanimous) return first.answers;
@@ -182,9 +182,11 @@
     const { clock, metrics, view } = this.#options;
     metrics.count('chains_fetched_total');
     while (clock.monotonic() < deadline) {
-      const present = view.value;
+      const currentView = view.value;
       const found =
-        present === undefined ? undefined : await this.#fetchChainInView(present, id, program);
+        currentView === undefined
+          ? undefined
+          : await this.#fetchChainInView(currentView, id, program);
       if (found !== undefined) return found;
       await delay(clock, RETRY_DELAY_MILLISECONDS);
     }
--- a/src/turns/journal.ts
+++ b/src/turns/journal.ts
@@ -8,9 +8,9 @@
 /** Characters appended since the last snapshot that trigger the next one. */
 const COMPACTION_THRESHOLD_CHARACTERS = 48 * 1024 * 1024;
 
-const DATA_LIFE_BYTES = 8;
+const INCARNATION_ID_BYTES = 8;
 
-/** Kind of the lines that hold a {@link StoreState}; the last one wins. */
+/** Kind of the lines that hold a {@link StoreState}; the last one applies. */
 const STORE_STATE_KIND = 'own';
 
 const storeStateSchema = z.object({
@@ -20,7 +20,7 @@
 });
 
 interface StoreState {
-  /** Random id drawn when the data folder is first used. */
+  /** Id of the incarnation of the data folder, generated at its first use. */
   readonly dataLife: string;
   /** The store's `joined` epoch for which its backfill is complete; 0 for none. */
   readonly completeFor: number;
@@ -53,7 +53,7 @@
     const { snapshot = [], records } = await this.#store.load();
     for (const text of [...snapshot, ...records]) this.#restore(text);
     if (this.#state.dataLife !== '') return;
-    await this.#persistState({ ...this.#state, dataLife: this.#random.hex(DATA_LIFE_BYTES) });
+    await this.#persistState({ ...this.#state, dataLife: this.#random.hex(INCARNATION_ID_BYTES) });
   }
 
   close(): Promise<void> {
--- a/src/turns/pull-sessions.ts
+++ b/src/turns/pull-sessions.ts
@@ -25,14 +25,17 @@
   }
 
   /** Rows added after the session began are left out: the requester receives them as a member. */
-  readPage({ filling, offset, held }: PullRequest): {
+  readPage({ filling: sessionId, offset, held: excludedTurnIds }: PullRequest): {
     readonly rows: readonly TurnRow[];
     readonly final: boolean;
   } {
     this.#evictIdle();
-    const session = this.#sessions.get(filling) ?? { rows: this.#rowsWithout(held), usedAt: 0 };
+    const session = this.#sessions.get(sessionId) ?? {
+      rows: this.#rowsWithout(excludedTurnIds),
+      usedAt: 0,
+    };
     session.usedAt = this.#clock.monotonic();
-    this.#sessions.set(filling, session);
+    this.#sessions.set(sessionId, session);
     let end = offset;
     for (let bytes = 0; end < session.rows.length && bytes < PAGE_LIMIT_BYTES; end += 1) {
       bytes += sizeOf(session.rows[end]);
@@ -41,8 +44,8 @@
     return { rows: session.rows.slice(offset, end), final };
   }
 
-  #rowsWithout(held: readonly string[]): readonly TurnRow[] {
-    const excluded = new Set(held);
+  #rowsWithout(turnIds: readonly string[]): readonly TurnRow[] {
+    const excluded = new Set(turnIds);
     const rows: TurnRow[] = [];
     for (const row of this.#table.rows()) {
       if (row.kind === 'budget' || !excluded.has(row.record.id)) rows.push(row);
@@ -52,8 +55,8 @@
 
   #evictIdle(): void {
     const since = this.#clock.monotonic() - IDLE_TIMEOUT_MILLISECONDS;
-    for (const [filling, { usedAt }] of this.#sessions) {
-      if (usedAt < since) this.#sessions.delete(filling);
+    for (const [sessionId, { usedAt }] of this.#sessions) {
+      if (usedAt < since) this.#sessions.delete(sessionId);
     }
   }
 }
--- a/src/turns/quorum-monitor.ts
+++ b/src/turns/quorum-monitor.ts
@@ -65,15 +65,15 @@
     const lastAt = Math.max(this.#succeededAt, this.#probedAt);
     if (this.reachesQuorum && now - lastAt < PROBE_INTERVAL_MILLISECONDS) return;
     this.#probedAt = now;
-    const present = view.value;
-    const isReached = present !== undefined && (await this.#probe(present));
+    const currentView = view.value;
+    const isReached = currentView !== undefined && (await this.#probe(currentView));
     if (isReached) {
       this.recordSuccess();
       return;
     }
     this.#failures += 1;
     if (this.#failures !== FAILURE_THRESHOLD) return;
-    this.#options.logger.warn({ event: 'stores-out-of-reach', epoch: present?.epoch });
+    this.#options.logger.warn({ event: 'stores-out-of-reach', epoch: currentView?.epoch });
   }
 
   async #probe(view: StoreView): Promise<boolean> {
--- a/src/turns/reservation-budget.ts
+++ b/src/turns/reservation-budget.ts
@@ -29,7 +29,7 @@
 /** Checks a reservation against the union of the other reservations in the stores' answers. */
 export function evaluateBudget(
   answers: readonly ReservationsAnswer[],
-  { turn, maxTokens: most, budget }: Pick<ReserveOptions, 'turn' | 'maxTokens' | 'budget'>,
+  { turn, maxTokens, budget }: Pick<ReserveOptions, 'turn' | 'maxTokens' | 'budget'>,
 ): BudgetEvaluation {
   let committedTokens = 0;
   let committedBefore = 0;
@@ -38,8 +38,8 @@
     const hasPrecedence = reservation.settled || reservation.turn < turn;
     if (hasPrecedence) committedBefore += reservation.tokens;
   }
-  if (committedTokens + most <= budget) return { kind: 'fits', committedTokens };
-  return { kind: committedBefore + most <= budget ? 'contended' : 'spent', committedTokens };
+  if (committedTokens + maxTokens <= budget) return { kind: 'fits', committedTokens };
+  return { kind: committedBefore + maxTokens <= budget ? 'contended' : 'spent', committedTokens };
 }
 
 /** Merges the answers by turn; a reservation that any store holds as settled is settled. */
@@ -51,8 +51,8 @@
   for (const { reservations } of answers) {
     for (const reservation of reservations) {
       if (reservation.turn === turn) continue;
-      const present = others.get(reservation.turn);
-      if (present?.settled !== true) others.set(reservation.turn, reservation);
+      const existing = others.get(reservation.turn);
+      if (existing?.settled !== true) others.set(reservation.turn, reservation);
     }
   }
   return others.values();
--- a/src/turns/table.ts
+++ b/src/turns/table.ts
@@ -59,7 +59,7 @@
     return { records: records.reverse(), missing: undefined };
   }
 
-  /** Iterates over the live rows: changes made meanwhile may be seen. */
+  /** Iterates without a copy: changes during the iteration may be included. */
   *rows(): Generator<TurnRow> {
     for (const [program, { reservations, changedAt }] of this.#budgets) {
       yield { kind: 'budget', program, changedAt, reservations: [...reservations.values()] };
@@ -69,10 +69,10 @@
 
   /** Removes rows past their retention; `now` is wall-clock time. Returns the count of turns. */
   expire(now: number): number {
-    const live = this.#liveTurns(now);
+    const retained = this.#retainedTurns(now);
     const before = this.#turns.size;
     for (const id of [...this.#turns.keys()]) {
-      if (!live.has(id)) this.#turns.delete(id);
+      if (!retained.has(id)) this.#turns.delete(id);
     }
     for (const [program, budget] of this.#budgets) {
       const keptUntil =
@@ -83,21 +83,21 @@
   }
 
   /** Ids of the turns within their retention and of all their ancestors. */
-  #liveTurns(now: number): ReadonlySet<string> {
-    const live = new Set<string>();
+  #retainedTurns(now: number): ReadonlySet<string> {
+    const retained = new Set<string>();
     for (const record of this.#turns.values()) {
       const keptUntil =
         record.endedAt + record.retentionSeconds * 1000 + RETENTION_MARGIN_MILLISECONDS;
       if (keptUntil < now) continue;
       for (
         let ancestor: TurnRecord | undefined = record;
-        ancestor !== undefined && !live.has(ancestor.id);
+        ancestor !== undefined && !retained.has(ancestor.id);
         ancestor = this.#turns.get(ancestor.previous ?? '')
       ) {
-        live.add(ancestor.id);
+        retained.add(ancestor.id);
       }
     }
-    return live;
+    return retained;
   }
 
   #addTurn(record: TurnRecord): boolean {
@@ -113,16 +113,16 @@
   }
 
   /** A settled reservation is final. */
-  #applyReservation(program: string, reservation: Reservation, at: number): boolean {
+  #applyReservation(program: string, reservation: Reservation, changedAt: number): boolean {
     const budget = this.#budgets.get(program) ?? {
       reservations: new Map<string, Reservation>(),
-      changedAt: at,
+      changedAt,
       retentionSeconds: DEFAULT_RETENTION_SECONDS,
     };
     this.#budgets.set(program, budget);
-    budget.changedAt = Math.max(budget.changedAt, at);
-    const present = budget.reservations.get(reservation.turn);
-    if (present !== undefined && (present.settled || !reservation.settled)) return false;
+    budget.changedAt = Math.max(budget.changedAt, changedAt);
+    const existing = budget.reservations.get(reservation.turn);
+    if (existing !== undefined && (existing.settled || !reservation.settled)) return false;
     budget.reservations.set(reservation.turn, reservation);
     return true;
   }
--- a/src/turns/tests/reservations.test.ts
+++ b/src/turns/tests/reservations.test.ts
@@ -11,11 +11,11 @@
 /** Stores that record reservations in the order in which the test releases them. */
 class FakeStores {
   readonly #reservations = new Map<string, Reservation[]>();
-  readonly #heldReservations = new Map<string, () => void>();
+  readonly #delayedReservations = new Map<string, () => void>();
   /** Whether reservations wait for {@link release}. */
-  holdsReservations = false;
+  delaysReservations = false;
 
-  readonly caller: RpcClient<TurnContract> = {
+  readonly client: RpcClient<TurnContract> = {
     call: ((store: string, _name: string, body: { readonly turn?: string }): Promise<unknown> => {
       const recorded = this.#reservations.get(store) ?? [];
       this.#reservations.set(store, recorded);
@@ -28,24 +28,24 @@
           recorded.push({ turn, tokens: MAX_TOKENS, settled: false });
           resolve(answer());
         };
-        if (this.holdsReservations) this.#heldReservations.set(`${store} ${turn}`, record);
+        if (this.delaysReservations) this.#delayedReservations.set(`${store} ${turn}`, record);
         else record();
       });
     }) as RpcClient<TurnContract>['call'],
     cast: (store: string, _name: string, notice: { readonly turn: string }) => {
       const recorded = this.#reservations.get(store) ?? [];
-      const withdrawn = { turn: notice.turn, tokens: 0, settled: true };
+      const settled = { turn: notice.turn, tokens: 0, settled: true };
       this.#reservations.set(store, [
         ...recorded.filter(({ turn }) => turn !== notice.turn),
-        withdrawn,
+        settled,
       ]);
     },
     isConnected: () => true,
   };
 
-  /** Releases held reservations, each given as `store turn`. */
+  /** Releases delayed reservations, each given as `store turn`. */
   release(names: readonly string[]): void {
-    for (const name of names) this.#heldReservations.get(name)?.();
+    for (const name of names) this.#delayedReservations.get(name)?.();
   }
 }
 
@@ -57,7 +57,7 @@
     view,
     cache: new ChainCache(0),
     quorumMonitor: { recordSuccess: () => undefined },
-    peers: stores.caller,
+    peers: stores.client,
     clock,
     logger: createSilentLogger(),
     metrics: new Metrics(),
@@ -87,7 +87,7 @@
     it('never grants more than the budget, although each first sees only one other', async () => {
       const clock = new ManualClock();
       const stores = new FakeStores();
-      stores.holdsReservations = true;
+      stores.delaysReservations = true;
       const client = createClient(stores, clock);
       const answers = Promise.all(['t1', 't2', 't3'].map((turn) => reserve(client, turn)));
       stores.release(['b t1', 'c t2', 'a t3', 'a t1', 'b t2', 'c t3']);
@@ -101,7 +101,7 @@
     it('grants as many as fit, and refuses the others without delay', async () => {
       const clock = new ManualClock();
       const stores = new FakeStores();
-      stores.holdsReservations = true;
+      stores.delaysReservations = true;
       const client = createClient(stores, clock);
       const turns = ['t1', 't2', 't3', 't4', 't5'];
       const answers = turns.map(async (turn) => {
--- a/src/turns/tests/simulated-cluster.ts
+++ b/src/turns/tests/simulated-cluster.ts
@@ -20,7 +20,7 @@
 interface Host {
   readonly name: string;
   readonly disk: MemoryDisk;
-  alive: boolean;
+  running: boolean;
   run: number;
   journal: TurnJournal;
   view: LatestValue<StoreView>;
@@ -57,7 +57,7 @@
     const host: Host = {
       name,
       disk,
-      alive: true,
+      running: true,
       run: 0,
       journal: new TurnJournal(new SegmentedStore({ folder: FOLDER }), this.random),
       view: createView(),
@@ -78,7 +78,7 @@
     );
     await journal.open();
     host.run += 1;
-    host.alive = true;
+    host.running = true;
     host.journal = journal;
     host.view = createView();
     const options = { self: name, journal, clock: this.clock, logger: this.#logger };
@@ -93,7 +93,7 @@
   /** Simulates a power loss; `wipes` empties the disk as well. */
   stop(name: string, wipes: boolean): void {
     const host = this.#host(name);
-    host.alive = false;
+    host.running = false;
     if (wipes) {
       host.disk.wipe();
       host.journal = new TurnJournal(new SegmentedStore({ folder: FOLDER }), this.random);
@@ -110,8 +110,8 @@
     this.#partitioned.clear();
   }
 
-  isAlive(name: string): boolean {
-    return this.#host(name).alive;
+  isRunning(name: string): boolean {
+    return this.#host(name).running;
   }
 
   get names(): readonly string[] {
@@ -127,26 +127,26 @@
     }).length;
   }
 
-  /** Whether every member of the view is alive and has completed its backfill. */
+  /** Whether every member of the view is running and has completed its backfill. */
   get isFullyReplicated(): boolean {
     const members = this.#planned?.members ?? [];
-    return this.incompleteCount === 0 && members.every(({ name }) => this.#host(name).alive);
+    return this.incompleteCount === 0 && members.every(({ name }) => this.#host(name).running);
   }
 
   /** Plans the view once; offers it to reachable hosts, and to each client with probability 0.5. */
-  plan(clients: readonly LatestValue<StoreView>[], silenceCounts: boolean): void {
+  plan(clients: readonly LatestValue<StoreView>[], failureDetectionActive: boolean): void {
     const step = planView({
       view: this.#planned,
       toleratedLosses: this.#toleratedLosses,
-      stores: [...this.#hosts.values()].filter(({ alive }) => alive).map(toKnownNode),
+      stores: [...this.#hosts.values()].filter(({ running }) => running).map(toKnownNode),
       retirements: new Map(),
-      failureDetectionActive: silenceCounts,
+      failureDetectionActive,
     });
     if (step?.kind === 'view') this.#planned = step.view;
     const view = this.#planned;
     if (view === undefined) return;
     for (const host of this.#hosts.values()) {
-      if (host.alive && !this.#partitioned.has(host.name)) host.view.offer(view);
+      if (host.running && !this.#partitioned.has(host.name)) host.view.offer(view);
     }
     for (const client of clients) {
       if (this.random.fraction() < 0.5) client.offer(view);
@@ -172,7 +172,7 @@
   }
 
   /** Delivers a random message; returns whether there was one. */
-  deliverAny(): boolean {
+  deliverRandom(): boolean {
     const index = Math.floor(this.random.fraction() * this.#messages.length);
     const [message] = this.#messages.splice(index, 1);
     message?.deliver();
@@ -189,7 +189,7 @@
           const run = this.#host(to).run;
           void Promise.resolve(this.#host(to).calls[name]?.(body)).then(
             (answer) => {
-              if (!this.#host(to).alive || this.#host(to).run !== run) return;
+              if (!this.#host(to).running || this.#host(to).run !== run) return;
               this.#send(to, from, () => {
                 resolve(answer);
               });
@@ -213,7 +213,11 @@
       to,
       deliver: () => {
         const recipient = this.#hosts.get(to);
-        if (recipient?.alive === false || this.#partitioned.has(from) || this.#partitioned.has(to))
+        if (
+          recipient?.running === false ||
+          this.#partitioned.has(from) ||
+          this.#partitioned.has(to)
+        )
           return;
         onDelivery();
       },
--- a/src/turns/tests/store-epochs.test.ts
+++ b/src/turns/tests/store-epochs.test.ts
@@ -65,10 +65,10 @@
   });
 
   describe('restarted with an empty disk', () => {
-    it('does not serve a view that names its former dataLife', async () => {
+    it('does not serve a view that lists an earlier incarnation of its data folder', async () => {
       const disk = new MemoryDisk();
       const { store, view } = await createStore(disk);
-      view.offer(viewOf(1, 'another-life'));
+      view.offer(viewOf(1, 'another-incarnation'));
       const answer = await store.calls['turns.record']?.({ epoch: 1, record: RECORD });
       expect(answer).toEqual({ kind: 'behind' });
     });
--- a/src/turns/tests/store-simulation.ts
+++ b/src/turns/tests/store-simulation.ts
@@ -80,7 +80,7 @@
     else if (chance < 0.67) await this.#restart();
     const deliveries = Math.floor(random.fraction() * 40);
     for (let count = 0; count < deliveries; count += 1) {
-      this.#cluster.deliverAny();
+      this.#cluster.deliverRandom();
       await flushEventLoop();
     }
     clock.advance(STEP_MILLISECONDS);
@@ -100,7 +100,7 @@
   async #fail(): Promise<void> {
     const { random, names } = this.#cluster;
     const name = names[Math.floor(random.fraction() * names.length)] ?? '';
-    if (!this.#cluster.isAlive(name)) return;
+    if (!this.#cluster.isRunning(name)) return;
     const mayWipe = this.#cluster.incompleteCount < this.#options.toleratedLosses;
     if (random.fraction() < 0.3) this.#cluster.partition(name);
     else this.#cluster.stop(name, mayWipe && random.fraction() < 0.6);
@@ -110,7 +110,7 @@
   async #restart(): Promise<void> {
     this.#cluster.heal();
     for (const name of this.#cluster.names) {
-      if (!this.#cluster.isAlive(name)) await this.#cluster.start(name);
+      if (!this.#cluster.isRunning(name)) await this.#cluster.start(name);
     }
   }
 
@@ -118,7 +118,7 @@
     await this.#restart();
     for (let step = 0; step < RECOVERY_STEPS; step += 1) {
       this.#plan();
-      while (this.#cluster.deliverAny()) await flushEventLoop();
+      while (this.#cluster.deliverRandom()) await flushEventLoop();
       this.#cluster.clock.advance(STEP_MILLISECONDS);
       await flushEventLoop();
     }
@@ -130,7 +130,7 @@
     const { clock } = this.#cluster;
     const program = `p${Math.floor(clock.monotonic() / STEP_MILLISECONDS / PROGRAM_STEPS)}`;
     this.#turn += 1;
-    const { turns } = this.#anyClient();
+    const { turns } = this.#randomClient();
     const { budgetTokens } = this.#options;
     const turn = `r${this.#turn}`;
     const deadline = clock.monotonic() + 1000;
@@ -170,7 +170,7 @@
       retentionSeconds: 10_000,
       target: 'e1',
     };
-    this.#anyClient()
+    this.#randomClient()
       .turns.record(record, clock.monotonic() + 1500)
       .then(() => {
         this.#recorded.push(id);
@@ -191,7 +191,7 @@
       let done = false;
       void reading.finally(() => (done = true));
       for (let step = 0; step < RECOVERY_STEPS && !isDone(done); step += 1) {
-        while (this.#cluster.deliverAny()) await flushEventLoop();
+        while (this.#cluster.deliverRandom()) await flushEventLoop();
         this.#cluster.clock.advance(STEP_MILLISECONDS);
         await flushEventLoop();
       }
@@ -203,7 +203,7 @@
     try {
       // Half of the reads name another program, which has other preferred replicas.
       const program = Number(id.slice(1)) % 2 === 0 ? RECORDED_PROGRAM : 'another';
-      const chain = await this.#anyClient().turns.chain(id, program, deadline);
+      const chain = await this.#randomClient().turns.chain(id, program, deadline);
       if (chain.kind === 'absent') this.#violations.push(`${id} was recorded but is absent`);
       else if (chain.records.at(-1)?.input.toString() !== id) {
         this.#violations.push(`${id} is read with a different input`);
@@ -213,7 +213,7 @@
     }
   }
 
-  #anyClient() {
+  #randomClient() {
     const { random } = this.#cluster;
     const client = this.#clients[Math.floor(random.fraction() * this.#clients.length)];
     if (client === undefined) throw new Error('no clients');
