--- a/src/control/control-service.ts
+++ b/src/control/control-service.ts
@@ -134,7 +134,7 @@
     return NOTED;
   }
 
-  entryLife(identity: string): EntryLivenessResult | NotLeader {
+  entryLiveness(identity: string): EntryLivenessResult | NotLeader {
     if (!this.#serves) return this.#notLeader;
     const { registry, clock } = this.#options;
     return { outcome: 'entry-life', dead: registry.isEntryDead(identity, clock.monotonic()) };
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -59,7 +59,7 @@
 
   /** Monotonic time in milliseconds, after the shorter of the caller's and the route's timeout. */
   get deadline(): number {
-    const callerTimeout = this.head.waitMilliseconds ?? Infinity;
+    const callerTimeout = this.head.timeoutMilliseconds ?? Infinity;
     return this.arrivedAt + Math.min(callerTimeout, this.#route?.timeoutMilliseconds ?? Infinity);
   }
 
--- a/src/gateway/tests/graceful-shutdown.test.ts
+++ b/src/gateway/tests/graceful-shutdown.test.ts
@@ -13,7 +13,7 @@
 const WIRE: WireFormat = {
   readRequest: () => ({
     id: 'r1',
-    waitMilliseconds: undefined,
+    timeoutMilliseconds: undefined,
     key: undefined,
     program: undefined,
     programMilliseconds: undefined,
--- a/src/gateway/wire-format.ts
+++ b/src/gateway/wire-format.ts
@@ -5,7 +5,7 @@
   /** Set by the caller, different for each attempt of its own. */
   readonly id: string | undefined;
   /** The caller's timeout, counted from the arrival of the request. */
-  readonly waitMilliseconds: number | undefined;
+  readonly timeoutMilliseconds: number | undefined;
   /** API key; undefined if the caller sent none, or more than one. */
   readonly key: string | undefined;
   readonly program: string | undefined;
--- a/src/protocol/router.ts
+++ b/src/protocol/router.ts
@@ -107,7 +107,7 @@
   heartbeat(input: Heartbeat): Acknowledgement | NotLeader;
   watch(input: Watch): Promise<WatchChanges | NotLeader>;
   confirmOrders(orders: readonly string[]): Promise<Acknowledgement | NotLeader>;
-  entryLife(identity: string): EntryLivenessResult | NotLeader;
+  entryLiveness(identity: string): EntryLivenessResult | NotLeader;
   offerOrders(offer: OrderOffer): Acknowledgement | NotLeader;
   settleOrders(group: string, orders: readonly string[]): Promise<Acknowledgement | NotLeader>;
   summary(group: string): GroupSummary | NotLeader;
@@ -185,7 +185,7 @@
     groups: trpc.router({
       entryLife: processProcedure
         .input(z.object({ identity: z.string() }))
-        .query(({ input }) => api.entryLife(input.identity)),
+        .query(({ input }) => api.entryLiveness(input.identity)),
       offerOrders: processProcedure
         .input(orderOfferSchema)
         .mutation(({ input }) => api.offerOrders(input)),
