--- a/src/cluster/client.ts
+++ b/src/cluster/client.ts
@@ -14,7 +14,7 @@
 import type { ClusterCommand, CommandOutcome } from './state-machine';
 
 /**
- * Total time for one call; below the 1 s after which an operator's client tries another process.
+ * Total time for one call; below the 1 s after which an operator's client calls another process.
  */
 const CALL_TIMEOUT_MILLISECONDS = 900;
 
--- a/src/cluster/directory.ts
+++ b/src/cluster/directory.ts
@@ -1,7 +1,7 @@
 import { type Clock, digestText } from '../core';
 import type { KnownNode, NodeInfo, NodeKind, NodeStatus } from './node';
 
-/** Time after which a node that was neither heard from nor reported is removed. */
+/** Time without a heartbeat or report after which a node is removed. */
 const EXPIRY_MILLISECONDS = 10_000;
 
 /** Membership table: the processes that this one knows of, by name. */
@@ -15,8 +15,8 @@
   }
 
   recordHeartbeat(node: NodeInfo, status: NodeStatus): void {
-    const heardAt = this.#clock.monotonic();
-    this.#set({ node, status, lastSeenAt: heardAt });
+    const lastSeenAt = this.#clock.monotonic();
+    this.#set({ node, status, lastSeenAt });
   }
 
   /**
@@ -42,8 +42,8 @@
   /** Removes expired nodes and returns the others. */
   all(): readonly KnownNode[] {
     const since = this.#clock.monotonic() - EXPIRY_MILLISECONDS;
-    for (const [name, { lastSeenAt: heardAt }] of this.#nodes) {
-      if (heardAt >= since) continue;
+    for (const [name, { lastSeenAt }] of this.#nodes) {
+      if (lastSeenAt >= since) continue;
       this.#nodes.delete(name);
       this.#digest = undefined;
     }
--- a/src/cluster/leader-confirmation.ts
+++ b/src/cluster/leader-confirmation.ts
@@ -1,10 +1,10 @@
 import type { CancelTimer, Clock } from '../core';
 
-/** Gap between calls of `recordActivity` above which the process counts as having been paused. */
-const PAUSE_THRESHOLD_MILLISECONDS = 500;
+/** Gap between calls of `recordActivity` above which the process counts as having been suspended. */
+const SUSPENSION_THRESHOLD_MILLISECONDS = 500;
 
-/** Time after a pause in which the next heartbeat and its response are expected. */
-const PAUSE_GRACE_MILLISECONDS = 300;
+/** Time after a suspension in which the next heartbeat and its response are expected. */
+const RESUMPTION_GRACE_MILLISECONDS = 300;
 
 /** Time after the start in which an election may still be in progress. */
 const START_GRACE_MILLISECONDS = 3000;
@@ -41,10 +41,10 @@
     return this.#clock.monotonic() - this.#confirmedAt;
   }
 
-  /** Detects pauses of the process; must be called several times per second. */
+  /** Detects suspensions of the process; must be called several times per second. */
   recordActivity(): void {
     const now = this.#clock.monotonic();
-    if (now - this.#lastActiveAt > PAUSE_THRESHOLD_MILLISECONDS) this.#resumedAt = now;
+    if (now - this.#lastActiveAt > SUSPENSION_THRESHOLD_MILLISECONDS) this.#resumedAt = now;
     this.#lastActiveAt = now;
   }
 
@@ -54,9 +54,11 @@
    */
   get isInGracePeriod(): boolean {
     const now = this.#clock.monotonic();
-    if (now - this.#lastActiveAt > PAUSE_THRESHOLD_MILLISECONDS) return true;
+    if (now - this.#lastActiveAt > SUSPENSION_THRESHOLD_MILLISECONDS) return true;
     if (this.#confirmedAt === -Infinity) return now - this.#startedAt <= START_GRACE_MILLISECONDS;
-    return this.#confirmedAt < this.#resumedAt && now - this.#resumedAt <= PAUSE_GRACE_MILLISECONDS;
+    return (
+      this.#confirmedAt < this.#resumedAt && now - this.#resumedAt <= RESUMPTION_GRACE_MILLISECONDS
+    );
   }
 
   /** Records that the leader answered a request sent at `requestedAt`; monotonic milliseconds. */
--- a/src/cluster/replica.ts
+++ b/src/cluster/replica.ts
@@ -151,7 +151,7 @@
       clock,
       random,
       onChange: () => {
-        const { role, term, leader, votes } = log;
+        const { role, term, leader, isVoter: votes } = log;
         logger.info({ event: 'replication', state: role, term, leader, votes });
       },
       onMembership: (membership, reason) => {
--- a/src/cluster/tests/leader-confirmation.test.ts
+++ b/src/cluster/tests/leader-confirmation.test.ts
@@ -29,7 +29,7 @@
     expect(confirmation.ageMilliseconds).toBe(600);
   });
 
-  it('includes the time of a process pause in the age', () => {
+  it('includes the time of a suspension of the process in the age', () => {
     clock.jump(5000);
     expect(confirmation.ageMilliseconds).toBe(5600);
   });
--- a/src/cluster/tests/view-plan.test.ts
+++ b/src/cluster/tests/view-plan.test.ts
@@ -9,7 +9,13 @@
 }
 
 function store(name: string, options: StoreOptions = {}): KnownNode {
-  const { zone = name, dataLife = 'life', completeFor = 1, epoch = 1, address = name } = options;
+  const {
+    zone = name,
+    dataLife = 'incarnation-1',
+    completeFor = 1,
+    epoch = 1,
+    address = name,
+  } = options;
   return {
     node: {
       name,
@@ -32,7 +38,7 @@
     name,
     address: name,
     availabilityZone: name,
-    dataLife: 'life',
+    dataLife: 'incarnation-1',
     joined: 1,
   })),
 };
--- a/src/control/control-service.ts
+++ b/src/control/control-service.ts
@@ -64,7 +64,7 @@
   readonly logger: Logger;
 }
 
-const NOTED: Acknowledgement = { outcome: 'noted' };
+const ACKNOWLEDGED: Acknowledgement = { outcome: 'noted' };
 
 /** Timeout of a call that reports confirmed orders to their group. */
 const SETTLE_TIMEOUT_MILLISECONDS = 2000;
@@ -131,7 +131,7 @@
     if (!this.#serves) return this.#notLeader;
     const { registry, clock, notifier } = this.#options;
     if (registry.recordHeartbeat(input, clock.monotonic())) notifier.notify(CHANGE_KEYS.directory);
-    return NOTED;
+    return ACKNOWLEDGED;
   }
 
   entryLife(identity: string): EntryLivenessResult | NotLeader {
@@ -180,7 +180,7 @@
     if (!this.#serves) return this.#notLeader;
     const { orders, notifier } = this.#options;
     for (const target of orders.replaceGroup(offer)) notifier.notify(CHANGE_KEYS.orders(target));
-    return NOTED;
+    return ACKNOWLEDGED;
   }
 
   async confirmOrders(ids: readonly string[]): Promise<Acknowledgement | NotLeader> {
@@ -195,7 +195,7 @@
     );
     // If a call fails, the group offers its orders again and the targets carry them out once more.
     await Promise.allSettled(calls);
-    return NOTED;
+    return ACKNOWLEDGED;
   }
 
   async applyConfiguration(input: AcceptConfiguration): Promise<AcceptOutcome | NotLeader> {
--- a/src/control/group-log.ts
+++ b/src/control/group-log.ts
@@ -56,7 +56,7 @@
     electionMilliseconds: control['election-milliseconds'],
     snapshotEntries: control['snapshot-entries'],
     onChange: () => {
-      const { role, term, leader, votes } = log;
+      const { role, term, leader, isVoter: votes } = log;
       logger.info({ event: 'replication', group: group.name, state: role, term, leader, votes });
       group.onChange(log);
     },
--- a/src/control/program-service.ts
+++ b/src/control/program-service.ts
@@ -44,7 +44,7 @@
   readonly metrics: Metrics;
 }
 
-/** Interval at which a waiting step checks whether the entry that runs it is still alive. */
+/** Interval at which a waiting step checks whether the entry that runs it is still live. */
 const LIVENESS_CHECK_INTERVAL_MILLISECONDS = 250;
 
 /** Timeout for this host to receive the configuration that the calling entry has. */
@@ -59,14 +59,14 @@
   }
 
   async createProgram(input: CreateProgram): Promise<Created | Refused | NotLeader> {
-    if (!this.#isServing()) return this.notLeader;
+    if (!this.#serves()) return this.notLeader;
     const kindInForce = await this.#resolveKind(input);
     if (kindInForce.outcome !== 'kind') return kindInForce;
     return this.#propose({ kind: 'create-program', at: this.#now, input, kindInForce });
   }
 
   getProgram(id: string, team: string): FoundProgram | Refused | NotLeader {
-    if (!this.#isServing()) return this.notLeader;
+    if (!this.#serves()) return this.notLeader;
     const { tables } = this.#options.group.machine;
     const program = tables.programs.get(id);
     if (program?.team !== team) return unknownProgram(id);
@@ -113,7 +113,7 @@
   }
 
   summary(): GroupSummary | NotLeader {
-    if (!this.#isServing()) return this.notLeader;
+    if (!this.#serves()) return this.notLeader;
     const { self, group } = this.#options;
     const teams = describeTeams(group.machine.tables);
     return { outcome: 'summary', group: describeGroup(group.name, self, group.log), teams };
@@ -130,9 +130,9 @@
   }
 
   async #tryBegin(input: BeginStep): Promise<BeginDecision | NotLeader> {
-    if (!this.#isServing()) return this.notLeader;
+    if (!this.#serves()) return this.notLeader;
     const displacedAttempt = await this.#findDisplacedAttempt(input);
-    if (!this.#isServing()) return this.notLeader;
+    if (!this.#serves()) return this.notLeader;
     const command = {
       kind: 'begin-step',
       at: this.#now,
@@ -170,7 +170,7 @@
     return resolveKind(configuration.accepted?.configuration, input);
   }
 
-  #isServing(): boolean {
+  #serves(): boolean {
     return this.#options.group.log.serves;
   }
 
@@ -187,7 +187,7 @@
   async #propose<K extends Command['kind']>(
     command: Extract<Command, { kind: K }>,
   ): Promise<CommandResults[K] | NotLeader> {
-    if (!this.#isServing()) return this.notLeader;
+    if (!this.#serves()) return this.notLeader;
     const { group, clock, metrics } = this.#options;
     const started = clock.monotonic();
     try {
--- a/src/control/tests/node-registry.test.ts
+++ b/src/control/tests/node-registry.test.ts
@@ -87,7 +87,7 @@
       expect(stateOf('engine-a')).toBe('serving');
     });
 
-    it('keeps a target leaving when its host vanishes, and does not revive a lost target', () => {
+    it('keeps a target leaving when its host is no longer listed, and a lost target lost', () => {
       registry.recordHeartbeat(sidecar(), 10);
       registry.applyHostList(['engine-a'], []);
       expect(registry.applyHostList([], [])).toBe(false);
--- a/src/replication/membership.ts
+++ b/src/replication/membership.ts
@@ -40,7 +40,7 @@
   readonly membership: Membership;
 }
 
-/** The memberships of a log by index; each is in force from the time its entry is appended. */
+/** The memberships of a log by index; each is in effect from the time its entry is appended. */
 export class MembershipHistory {
   #changes: readonly MembershipChange[];
 
@@ -57,7 +57,7 @@
     return this.#changes.at(-1)?.index ?? 0;
   }
 
-  /** Membership in force at an index. */
+  /** Membership in effect at an index. */
   at(index: number): Membership {
     return this.#changes.findLast((change) => change.index <= index)?.membership ?? NO_MEMBERS;
   }
@@ -73,7 +73,7 @@
     this.#changes = [first, ...rest.filter((change) => change.index < index)];
   }
 
-  /** Makes the membership in force at `index` the base and drops earlier ones. */
+  /** Makes the membership in effect at `index` the base and drops earlier ones. */
   compactTo(index: number): void {
     const base = { index, membership: this.at(index) };
     this.#changes = [base, ...this.#changes.filter((change) => change.index > index)];
--- a/src/replication/messages.ts
+++ b/src/replication/messages.ts
@@ -10,7 +10,7 @@
   index,
   term,
   command: z.string(),
-  /** Membership in force from this entry on; absent if unchanged. */
+  /** Membership in effect from this entry on; absent if unchanged. */
   membership: membershipSchema.optional(),
 });
 export type LogEntry = Readonly<z.output<typeof logEntrySchema>>;
@@ -65,7 +65,7 @@
   kind: z.literal('snapshot-part'),
   term,
   from: memberIdentity,
-  /** Last position that the snapshot covers, and the membership in force there. */
+  /** Last position that the snapshot covers, and the membership in effect there. */
   lastIndex: index,
   lastTerm: term,
   membership: membershipSchema,
--- a/src/replication/raft-log.ts
+++ b/src/replication/raft-log.ts
@@ -3,7 +3,7 @@
 import type { AppendRequest, LogEntry } from './messages';
 import type { Outbox } from './outbox';
 
-/** The last position that a snapshot covers and the membership in force there. */
+/** The last position that a snapshot covers and the membership in effect there. */
 export interface SnapshotMetadata {
   readonly position: LogPosition;
   readonly membership: Membership;
@@ -12,7 +12,7 @@
 export interface RaftLogOptions {
   /** Last position covered by a snapshot. */
   readonly base?: LogPosition;
-  /** Membership in force at the base. */
+  /** Membership in effect at the base. */
   readonly membership?: Membership;
   /** Entries after the base. */
   readonly entries?: readonly LogEntry[];
@@ -40,7 +40,7 @@
     this.#outbox = outbox;
     this.#entries = new EntryList(base, entries);
     this.#memberships = new MembershipHistory(base.index, membership);
-    this.#noteMemberships(entries);
+    this.#recordMemberships(entries);
     this.#commitIndex = base.index;
     this.#syncedIndex = this.#entries.lastIndex;
   }
@@ -66,12 +66,12 @@
     return this.#entries.base;
   }
 
-  /** The membership in force, which may not be committed yet. */
+  /** The membership in effect, which may not be committed yet. */
   get membership(): Membership {
     return this.#memberships.current;
   }
 
-  /** Whether the membership in force is committed. */
+  /** Whether the membership in effect is committed. */
   get isMembershipCommitted(): boolean {
     return this.#memberships.changedAt <= this.#commitIndex;
   }
@@ -169,7 +169,7 @@
     this.#memberships.truncateFrom(position.index + 1);
     this.#memberships.add(position.index, membership);
     this.#memberships.compactTo(position.index);
-    this.#noteMemberships(this.range(position.index + 1, this.lastIndex));
+    this.#recordMemberships(this.range(position.index + 1, this.lastIndex));
     this.#commitIndex = position.index;
     this.#syncedIndex = Math.max(position.index, Math.min(this.#syncedIndex, this.lastIndex));
     return true;
@@ -192,11 +192,11 @@
 
   #append(entries: readonly LogEntry[]): void {
     this.#entries.append(entries);
-    this.#noteMemberships(entries);
+    this.#recordMemberships(entries);
     this.#outbox.addEntries(entries);
   }
 
-  #noteMemberships(entries: readonly LogEntry[]): void {
+  #recordMemberships(entries: readonly LogEntry[]): void {
     for (const { index, membership } of entries) {
       if (membership !== undefined) this.#memberships.add(index, membership);
     }
--- a/src/replication/raft-member.ts
+++ b/src/replication/raft-member.ts
@@ -90,7 +90,7 @@
     return this.#log;
   }
 
-  /** The membership in force, which may not be committed yet. */
+  /** The membership in effect, which may not be committed yet. */
   get membership(): Membership {
     return this.#log.membership;
   }
@@ -215,9 +215,9 @@
     this.#outbox.send(peer, { kind: 'campaign-now', term: this.term, from: this.#self });
   }
 
-  /** Reports an aborted snapshot transfer, so that another snapshot is requested. */
-  snapshotFailed(peer: string): void {
-    this.#replicator.snapshotFailed(peer);
+  /** Records an aborted snapshot transfer, so that another snapshot is requested. */
+  recordSnapshotFailure(peer: string): void {
+    this.#replicator.recordSnapshotFailure(peer);
   }
 
   receive(message: RaftMessage, now: number): void {
--- a/src/replication/replicated-log.ts
+++ b/src/replication/replicated-log.ts
@@ -88,7 +88,7 @@
         self: identity,
         send: this.#sendByTransport,
         onFailure: (peer) => {
-          member.snapshotFailed(peer);
+          member.recordSnapshotFailure(peer);
         },
       }),
       membershipReconciler: new MembershipReconciler({
@@ -147,7 +147,7 @@
   }
 
   /** Whether this member is a voter. */
-  get votes(): boolean {
+  get isVoter(): boolean {
     return this.membership.voters.includes(this.identity);
   }
 
@@ -327,7 +327,7 @@
 
   #notifyIfChanged(): void {
     const { role, leader, term, ready } = this.#member;
-    const state = `${role} ${leader ?? ''} ${term} ${ready} ${this.votes}`;
+    const state = `${role} ${leader ?? ''} ${term} ${ready} ${this.isVoter}`;
     if (state === this.#lastNotifiedState) return;
     this.#lastNotifiedState = state;
     if (role !== 'leader') this.#proposals.rejectAll('leadership lost with the command pending');
--- a/src/replication/replicator.ts
+++ b/src/replication/replicator.ts
@@ -109,7 +109,7 @@
   }
 
   /** Clears the snapshot in flight, so that the next append requests another one. */
-  snapshotFailed(peer: string): void {
+  recordSnapshotFailure(peer: string): void {
     const progress = this.#progress.get(peer);
     if (progress !== undefined) progress.snapshotInFlight = false;
   }
--- a/src/replication/tests/membership.test.ts
+++ b/src/replication/tests/membership.test.ts
@@ -143,7 +143,7 @@
       return { kind: 'append', term, from: 'b/1', entries, ...previous };
     }
 
-    it('is in force once its entry is appended, until that entry is replaced', () => {
+    it('is in effect once its entry is appended, until that entry is replaced', () => {
       const member = createMember();
       const larger = { ...THREE_VOTERS, learners: ['d/1'] };
       member.receive(append(2, [entry(1, 2, larger)]), 10);
--- a/src/replication/tests/raft-member-simulation.test.ts
+++ b/src/replication/tests/raft-member-simulation.test.ts
@@ -5,7 +5,7 @@
 
 /** To replay a failure, pass the printed seed and path to `fc.assert`. */
 describe('simulated Raft members without drivers', () => {
-  describe('with message loss, delay, duplication, blocked links, paused members and crashes', () => {
+  describe('with message loss, delay, duplication, blocked links, suspended members and crashes', () => {
     it('commit one entry per index and elect one leader per term', () => {
       const seeds = fc.integer({ min: 1, max: 2 ** 31 - 1 });
       const sizes = fc.constantFrom(1, 3, 5);
--- a/src/replication/tests/raft-member-simulation.ts
+++ b/src/replication/tests/raft-member-simulation.ts
@@ -21,8 +21,8 @@
   unsynced: Unsynced[];
   /** Contents of the disk once all writes are synced. */
   written: Disk;
-  alive: boolean;
-  paused: boolean;
+  isRunning: boolean;
+  isSuspended: boolean;
 }
 
 export interface SimulationReport {
@@ -35,7 +35,7 @@
 
 /**
  * Raft members without drivers, with in-memory network and disks. A seeded schedule delays,
- * duplicates, reorders and drops messages, blocks links in one or both directions, pauses members
+ * duplicates, reorders and drops messages, blocks links in one or both directions, suspends members
  * and crashes them with the loss of unsynced writes.
  */
 export class RaftMemberSimulation {
@@ -85,7 +85,7 @@
     });
     member.start(this.#now);
     this.#checkedUpTo.set(name, 0);
-    return { name, member, disk, unsynced: [], written: disk, alive: true, paused: false };
+    return { name, member, disk, unsynced: [], written: disk, isRunning: true, isSuspended: false };
   }
 
   #randomStep(): void {
@@ -97,7 +97,7 @@
     else if (choice < 0.82) this.#syncSome(node);
     else if (choice < 0.94) this.#propose(node);
     else if (choice < 0.945) this.#blockLink();
-    else if (choice < 0.95) node.paused = true;
+    else if (choice < 0.95) node.isSuspended = true;
     else if (choice < 0.955) this.#crash(node);
     else if (choice < 0.975) this.#recover(node);
     else if (choice < 0.985) {
@@ -149,7 +149,7 @@
 
   /** Runs an action on a member and carries out its output. */
   #runMember(node: Node, action: (member: RaftMember) => void): void {
-    if (!node.alive || node.paused) return;
+    if (!node.isRunning || node.isSuspended) return;
     action(node.member);
     const output = node.member.takeOutput();
     this.#network.send(...output.messages);
@@ -180,7 +180,7 @@
 
   #syncOne(node: Node): void {
     const first = node.unsynced.shift();
-    if (first === undefined || !node.alive || node.paused) {
+    if (first === undefined || !node.isRunning || node.isSuspended) {
       if (first !== undefined) node.unsynced.unshift(first);
       return;
     }
@@ -192,14 +192,14 @@
   }
 
   #crash(node: Node): void {
-    node.alive = false;
+    node.isRunning = false;
     node.unsynced = [];
   }
 
   #recover(node: Node): void {
     this.#blockedLinks.clear();
-    node.paused = false;
-    if (!node.alive) Object.assign(node, this.#boot(node.name, node.disk));
+    node.isSuspended = false;
+    if (!node.isRunning) Object.assign(node, this.#boot(node.name, node.disk));
   }
 
   #blockLink(): void {
@@ -239,7 +239,7 @@
       }
       this.#leaderOfTerm.set(member.term, name);
       const leaseHolders = this.#nodes.filter(
-        (other) => other.alive && !other.paused && other.member.hasReadLease(this.#now),
+        (other) => other.isRunning && !other.isSuspended && other.member.hasReadLease(this.#now),
       );
       if (leaseHolders.length > 1) this.#violations.push('more than one member has a read lease');
     }
--- a/src/replication/tests/replicated-log-simulation.test.ts
+++ b/src/replication/tests/replicated-log-simulation.test.ts
@@ -5,7 +5,7 @@
 
 /** To replay a failure, pass the printed seed and path to `fc.assert`. */
 describe('a simulated replicated log', () => {
-  describe('with message loss, delay, duplication, blocked links, paused hosts, power loss and disk loss', () => {
+  describe('with message loss, delay, duplication, blocked links, suspended hosts, power loss and disk loss', () => {
     it('keeps acknowledged commands, one committed entry per index and one leader per term', async () => {
       const seeds = fc.integer({ min: 1, max: 2 ** 31 - 1 });
       const sizes = fc.constantFrom(1, 3, 3, 5);
--- a/src/replication/tests/replicated-log-simulation.ts
+++ b/src/replication/tests/replicated-log-simulation.ts
@@ -12,9 +12,9 @@
   clock: ManualClock;
   machine: ListMachine;
   log: ReplicatedLog<number>;
-  alive: boolean;
-  paused: boolean;
-  pausedMilliseconds: number;
+  isRunning: boolean;
+  isSuspended: boolean;
+  suspendedMilliseconds: number;
 }
 
 export interface SimulationReport {
@@ -31,7 +31,7 @@
 
 /**
  * Replicated logs with in-memory network and disks. A seeded schedule delays, duplicates, reorders
- * and drops messages, blocks links in one or both directions, delays disk operations, pauses hosts,
+ * and drops messages, blocks links in one or both directions, delays disk operations, suspends hosts,
  * makes them lose power or disks, and changes the host list.
  */
 export class ReplicatedLogSimulation {
@@ -83,9 +83,9 @@
     const host = {
       name,
       disk: new MemoryDisk(),
-      paused: false,
-      alive: false,
-      pausedMilliseconds: 0,
+      isSuspended: false,
+      isRunning: false,
+      suspendedMilliseconds: 0,
     };
     const created = this.#build(name, host.disk);
     const added: Host = { ...host, ...created };
@@ -122,7 +122,7 @@
     host.disk.paused = false;
     await host.log.start();
     host.disk.paused = true;
-    host.alive = true;
+    host.isRunning = true;
   }
 
   async #restart(host: Host): Promise<void> {
@@ -145,7 +145,7 @@
     else if (choice < 0.8) for (const other of this.#hosts) this.#completeDiskOperations(other);
     else if (choice < 0.94) this.#propose(host);
     else if (choice < 0.945) this.#blockLink();
-    else if (choice < 0.947) host.paused = host.alive;
+    else if (choice < 0.947) host.isSuspended = host.isRunning;
     else if (choice < 0.951) this.#crash(host);
     else if (choice < 0.952) for (const other of this.#hosts) this.#crash(other);
     else if (choice < 0.957) this.#wipe(host);
@@ -160,12 +160,13 @@
   }
 
   #advanceClock(host: Host, milliseconds: number): void {
-    if (host.paused) host.pausedMilliseconds += milliseconds;
-    else if (host.alive) host.clock.advance(milliseconds);
+    if (host.isSuspended) host.suspendedMilliseconds += milliseconds;
+    else if (host.isRunning) host.clock.advance(milliseconds);
   }
 
   #completeDiskOperations(host: Host): void {
-    if (!host.paused) host.disk.releaseOperations(1 + Math.floor(this.#random.fraction() * 10));
+    if (!host.isSuspended)
+      host.disk.releaseOperations(1 + Math.floor(this.#random.fraction() * 10));
   }
 
   #deliverSome(): void {
@@ -182,11 +183,11 @@
     const to = destinationHostOf(envelope);
     if (this.#blockedLinks.has(`${hostNameOf(envelope.message.from)}>${to}`)) return;
     const host = this.#hosts.find((entry) => entry.name === to);
-    if (host?.alive === true && !host.paused) host.log.receive([envelope]);
+    if (host?.isRunning === true && !host.isSuspended) host.log.receive([envelope]);
   }
 
   #propose(host: Host): void {
-    if (!host.alive || host.paused) return;
+    if (!host.isRunning || host.isSuspended) return;
     this.#proposals += 1;
     const command = `command ${this.#proposals}`;
     host.log.propose(command).then(
@@ -196,9 +197,9 @@
   }
 
   #crash(host: Host): void {
-    if (!host.alive) return;
-    host.alive = false;
-    host.paused = false;
+    if (!host.isRunning) return;
+    host.isRunning = false;
+    host.isSuspended = false;
     host.disk.losePower(this.#random);
   }
 
@@ -211,29 +212,31 @@
   }
 
   #allAreVoters(): boolean {
-    const leader = this.#hosts.find((host) => host.alive && !host.paused && host.log.serves);
+    const leader = this.#hosts.find(
+      (host) => host.isRunning && !host.isSuspended && host.log.serves,
+    );
     const voters = leader?.log.membership.voters ?? [];
     const identities = this.#hosts.map((host) => host.log.identity);
     const toleratesLoss = this.#listedHosts.length >= 3;
     return (
       toleratesLoss &&
-      this.#hosts.every((host) => host.alive) &&
+      this.#hosts.every((host) => host.isRunning) &&
       identities.every((identity) => voters.includes(identity))
     );
   }
 
   get #failedHost(): Host | undefined {
-    return this.#hosts.find((host) => host.paused || !host.alive);
+    return this.#hosts.find((host) => host.isSuspended || !host.isRunning);
   }
 
   async #recover(host: Host): Promise<void> {
     this.#blockedLinks.clear();
-    if (host.paused) {
-      host.paused = false;
-      host.clock.jump(host.pausedMilliseconds);
-      host.pausedMilliseconds = 0;
+    if (host.isSuspended) {
+      host.isSuspended = false;
+      host.clock.jump(host.suspendedMilliseconds);
+      host.suspendedMilliseconds = 0;
     }
-    if (!host.alive) await this.#restart(host);
+    if (!host.isRunning) await this.#restart(host);
   }
 
   #blockLink(): void {
@@ -265,7 +268,7 @@
   }
 
   #checkInvariants(): void {
-    const running = this.#hosts.filter((host) => host.alive && !host.paused);
+    const running = this.#hosts.filter((host) => host.isRunning && !host.isSuspended);
     for (const { log, name } of running) {
       if (log.role !== 'leader') continue;
       const known = this.#leaderOfTerm.get(log.term);
--- a/src/rpc/peer-connection.ts
+++ b/src/rpc/peer-connection.ts
@@ -5,7 +5,7 @@
 
 /**
  * Time limit to open a connection. Shorter than the 1 s after which the kernel would repeat a lost
- * SYN, so that a host that is back is reached sooner.
+ * SYN, so that a restarted host is reached sooner.
  */
 const CONNECT_TIMEOUT_MILLISECONDS = 350;
 
@@ -139,7 +139,7 @@
     else pending.reject(this.#error('failed', frame.message));
   }
 
-  /** Detects a peer that is gone without closing the connection. */
+  /** Detects a peer that failed without closing the connection. */
   #scheduleKeepalive(socket: Socket): void {
     const { clock } = this.#options;
     this.#cancelKeepalive = clock.after(KEEPALIVE_INTERVAL_MILLISECONDS, () => {
--- a/src/state/snapshot.ts
+++ b/src/state/snapshot.ts
@@ -7,7 +7,7 @@
 /** Content storage that can be written to and restored from snapshots. */
 export interface SnapshotContentStore extends ContentWriter {
   putWithHandle(handle: number, text: string): void;
-  restore(handle: number, place: ContentLocation): void;
+  restore(handle: number, location: ContentLocation): void;
   has(handle: number): boolean;
   get(handle: number): Promise<string>;
   locationOf(handle: number): ContentLocation | undefined;
--- a/src/state/steps.ts
+++ b/src/state/steps.ts
@@ -244,12 +244,12 @@
   tables.spending.set(program.root, spending);
   const { sequence, requestDigest, attempt } = step;
   const base = { sequence, requestDigest, attempt };
-  const finding: Step =
+  const resolved: Step =
     input.finding.kind === 'answered'
       ? { ...base, state: 'done', content: storeAnswer(tables, input.finding.answer) }
       : { ...base, state: 'unknown' };
   const nextSequence = Math.max(program.nextSequence, sequence + 1);
-  putStep(tables, { ...program, lastActivityAt: context.at, nextSequence }, finding);
+  putStep(tables, { ...program, lastActivityAt: context.at, nextSequence }, resolved);
 }
 
 function storeAnswer(tables: ProgramTables, answer: Answer): number {
--- a/src/state/tests/configuration-state-machine.test.ts
+++ b/src/state/tests/configuration-state-machine.test.ts
@@ -32,12 +32,12 @@
   });
 
   it('rejects a number accepted with another digest, and returns the accepted digest', () => {
-    const winner = acceptInput(2, 100);
-    accept(winner);
+    const accepted = acceptInput(2, 100);
+    accept(accepted);
     expect(accept(acceptInput(2, 200))).toMatchObject({
       outcome: 'not-accepted',
       code: 'number-taken',
-      digest: winner.digest,
+      digest: accepted.digest,
     });
   });
 
--- a/src/state/tests/memory-content-store.ts
+++ b/src/state/tests/memory-content-store.ts
@@ -43,7 +43,7 @@
   }
 
   restore(): void {
-    throw new Error('MemoryContentStore has no content locations to adopt');
+    throw new Error('MemoryContentStore does not support content locations');
   }
 
   locationOf(): undefined {
--- a/src/storage/content-store.ts
+++ b/src/storage/content-store.ts
@@ -73,7 +73,10 @@
     this.#onDamage = options.onDamage ?? (() => undefined);
   }
 
-  /** Lists the existing files; new texts go into a new file. Must be called once, before any other. */
+  /**
+   * Lists the existing files; new texts go into a new file. Must be called once, before any other
+   * method.
+   */
   async open(): Promise<void> {
     try {
       await this.#files.ensureFolder(this.#folder);
--- a/src/storage/file-system.ts
+++ b/src/storage/file-system.ts
@@ -19,7 +19,7 @@
   readAt(file: string, offset: number, length: number): Promise<Buffer>;
   /** Creates an empty file; its directory entry is durable after {@link syncFolder}. */
   create(file: string): Promise<AppendFile>;
-  /** Like {@link create}, with synchronous writes where the platform allows it. */
+  /** Like {@link create}, with synchronous writes where the operating system supports them. */
   createSynchronous(file: string): Promise<AppendFile>;
   /** Truncates a file to `length` bytes and opens it for synchronous appends. */
   openForAppend(file: string, length: number): Promise<AppendFile>;
@@ -34,8 +34,8 @@
 
 export interface NodeFileSystemOptions {
   /**
-   * Whether files for synchronous writes are opened with `O_DSYNC`. Disable it on platforms that
-   * may ignore the flag: {@link AppendFile.sync} then calls `fdatasync`.
+   * Whether files for synchronous writes are opened with `O_DSYNC`. Disable it on operating systems
+   * that may ignore the flag: {@link AppendFile.sync} then calls `fdatasync`.
    */
   readonly synchronousWrites?: boolean;
 }
