--- a/src/cluster/leader-confirmation.ts
+++ b/src/cluster/leader-confirmation.ts
@@ -1,6 +1,6 @@
 import type { CancelTimer, Clock } from '../core';
 
-/** Gap between calls of `recordActivity` above which the process counts as having been suspended. */
+/** Gap between calls of `recordActivity` above which the process was presumably suspended. */
 const SUSPENSION_THRESHOLD_MILLISECONDS = 500;
 
 /** Time after a suspension in which the next heartbeat and its response are expected. */
--- a/src/replication/tests/replicated-log-simulation.ts
+++ b/src/replication/tests/replicated-log-simulation.ts
@@ -31,8 +31,8 @@
 
 /**
  * Replicated logs with in-memory network and disks. A seeded schedule delays, duplicates, reorders
- * and drops messages, blocks links in one or both directions, delays disk operations, suspends hosts,
- * makes them lose power or disks, and changes the host list.
+ * and drops messages, blocks links in one or both directions, delays disk operations, suspends
+ * hosts, makes them lose power or disks, and changes the host list.
  */
 export class ReplicatedLogSimulation {
   readonly #random: SeededRandom;
